--- a/include/sapphirespool/Decisions/brownout.h
+++ b/include/sapphirespool/Decisions/brownout.h
@@ -1,4 +1,4 @@
-// brownout.h: decides which reads give way on the primary while writes wait there.
+// brownout.h: sheds reads that accept stale data from the primary while its own work waits too long.
 #pragma once
 
 #include "sapphirespool/Decisions/settings.h"
@@ -11,22 +11,22 @@
 namespace sapphirespool::decisions
 {
 
-/// Steps up while the primary's own work waits too long, and down slowly once it does not.
+/// Raises its level while writes and current reads wait too long for the primary, and lowers it slowly once they no longer do.
 ///
-/// Load pattern: replicas are lost or late, their reads come to the primary and delay bookings.
-/// Without it the primary serves reads that would have been content with older data before writes that nothing else can serve.
-/// The order is that of the operators' text: the reads that accept most age give way first.
-/// Two delays and slow steps down keep it from swinging; a step that depends on the delay alone would switch on and off with
-/// each emptying of the queue.
+/// Load pattern: replicas are lost or lag, their reads move to the primary and delay bookings.
+/// Without it the primary serves reads that accept older data ahead of writes that no other member can serve.
+/// Reads are shed by the age that the configuration lets them accept, the greatest age first.
+/// Separate thresholds for entering and leaving, and a minimum time per step down, prevent oscillation; a level that followed
+/// the delay alone would switch on and off each time the queue empties.
 class Brownout
 {
 public:
-    /// Steps: reads that accept 10 s or more give way, then 1 s or more, then any that accept age.
+    /// Level 1 sheds reads that accept an age of 10 s or more, level 2 those of 1 s or more, level 3 all that accept any age.
     static constexpr std::uint32_t highestLevel = 3;
 
     explicit Brownout(BrownoutSettings settings);
 
-    /// Takes the longest wait of the primary's own work.
+    /// Updates the level. \param wait longest current wait of a write or current read
     auto observe(Duration wait, TimePoint now) -> void;
 
     [[nodiscard]] auto level() const -> std::uint32_t;
--- a/include/sapphirespool/Decisions/dependencyguard.h
+++ b/include/sapphirespool/Decisions/dependencyguard.h
@@ -1,4 +1,4 @@
-// dependencyguard.h: refuses a service early while a service that it depends on refuses.
+// dependencyguard.h: detects an overloaded service, so that requests of services which depend on it are refused early.
 #pragma once
 
 #include "sapphirespool/Decisions/settings.h"
@@ -9,11 +9,11 @@
 namespace sapphirespool::decisions
 {
 
-/// Counts one service's refusals in a window and says whether services above it should be refused.
+/// Counts the admitted and refused requests of one service per window and decides whether services that depend on it are refused.
 ///
-/// Load pattern: a service at the bottom refuses most of its work. Each request of the services above it takes their slots and
-/// connections first and is refused in its last step.
-/// Without it the services above spend their capacity on work that cannot complete.
+/// Load pattern: a service at the end of a dependency chain refuses most of its work. Each request of a dependent service first
+/// takes slots and connections of its own service and is refused only in its last step.
+/// Without it dependent services spend their capacity on work that cannot complete.
 class DependencyGuard
 {
 public:
@@ -22,13 +22,14 @@
     auto recordAdmitted(TimePoint now) -> void;
     auto recordRefused(TimePoint now, Duration retryAfter) -> void;
 
-    /// \return whether the service refuses now, judged by the last whole window
+    /// \return whether the service refused too large a fraction of its requests in the last complete window
     [[nodiscard]] auto refusing(TimePoint now) -> bool;
 
-    /// Lets one in probeEvery pass, since a service that gets no requests cannot be seen to recover.
+    /// Admits one request in probeEvery as a probe: without requests to the service its recovery would go unnoticed.
+    /// \return whether this request is the probe
     [[nodiscard]] auto probe() -> bool;
 
-    /// \return when to come back, as the dependency last said
+    /// \return the retry delay of the service's latest refusal
     [[nodiscard]] auto retryAfter() const -> Duration;
 
 private:
--- a/include/sapphirespool/Decisions/dispatcher.h
+++ b/include/sapphirespool/Decisions/dispatcher.h
@@ -1,6 +1,6 @@
-// dispatcher.h: decides who is served, who waits, who is refused and where work goes.
+// dispatcher.h: interface for admission, queueing and placement of work.
 //
-// A state machine without sockets, clocks or threads: events and the time go in, actions come out.
+// A state machine without sockets, clocks or threads: its input is events with the current time, its output is actions.
 #pragma once
 
 #include "sapphirespool/Membership/clusterview.h"
@@ -18,46 +18,46 @@
 namespace sapphirespool::decisions
 {
 
-/// Number of one piece of work in this proxy.
+/// Identifies a piece of work within this proxy.
 using WorkId = support::StrongType<struct WorkIdTag, std::uint64_t>;
 
-/// Whose work it is, for fairness; the callers' package derives it from the request.
+/// Identifies the caller, the unit of fairness; the callers' package derives it from the request.
 using CallerId = support::StrongType<struct CallerIdTag, std::string>;
 
-/// A position that the session has seen; a read must not go to data before it.
+/// Log position that the session has observed; a read needs data at least as recent.
 struct NeededPosition
 {
     Term term;
     LogPosition position;
 };
 
-/// A statement or a whole transaction that wants an upstream.
+/// A statement or a whole transaction to be run on an upstream.
 struct Work
 {
     WorkId id;
     ServiceId service;
     CallerId caller;
-    /// Key on which work may crowd, for example a hot row; empty if unknown.
+    /// Key on which work may contend, for example a hot row; empty if unknown.
     std::string key;
     Access access = Access::Read;
     TimePoint deadline;
-    /// Age that a read accepts; zero: only what is current.
+    /// Staleness that a read accepts; zero requires current data.
     std::chrono::milliseconds maxAge{0};
     std::optional<NeededPosition> needed;
-    /// A transaction keeps its slot from begin to end.
+    /// Whether the work is a transaction, which keeps its slot from begin to end.
     bool transaction = false;
-    /// Attempts that went before this one; a retry comes out of the service's budget.
+    /// Number of earlier attempts; a retry is charged to the service's retry budget.
     std::uint32_t attempt = 0;
 };
 
-/// Send the work to this upstream now; the slot is taken until finished() is called.
+/// Send the work to this upstream now; it holds a slot until finished() is called.
 struct Start
 {
     WorkId id;
     UpstreamId upstream;
 };
 
-/// End the work; it was not run.
+/// Refuse the work; it has not run.
 struct Refuse
 {
     WorkId id;
@@ -67,43 +67,43 @@
 
 using Action = std::variant<Start, Refuse>;
 
-/// How work that was started ended at its upstream.
+/// Result of started work at its upstream.
 enum class WorkOutcome {
     Answered,
-    /// The statement was wrong; says nothing about the upstream.
+    /// The statement was invalid; this is no sign of the upstream's health.
     Rejected,
     /// No answer in time, or the connection was lost.
     Failed,
-    /// The upstream said that it is full or in another term; nothing ran.
+    /// The upstream refused because it is full or in another term; nothing ran.
     NotRun,
 };
 
-/// What is known of an upstream from answers and position reports.
+/// Replication state of an upstream, from its answers and position reports.
 struct Observation
 {
     GroupId group;
     UpstreamId upstream;
     Term term;
     LogPosition applied;
-    /// By how much its data may be behind the primary.
+    /// Upper bound of its replication lag behind the primary.
     std::chrono::milliseconds age{0};
 };
 
-/// This proxy's part of an upstream.
+/// This proxy's share of an upstream's capacity.
 struct Share
 {
     std::uint32_t slots = 0;
     std::uint32_t connections = 0;
 };
 
-/// How many slots of an upstream this proxy uses, and how many it could use at once; what the sharing of upstreams is told.
+/// Slots of an upstream that this proxy uses, and slots that it could use at once; the input of the share allocation.
 struct SlotDemand
 {
     std::uint32_t running = 0;
     std::uint32_t wanted = 0;
 };
 
-/// One for a proxy; all calls on the dispatch thread. Each returns what to do now.
+/// Admits, queues and places all work of a proxy. All calls are made on the dispatch thread; each returns the actions to take now.
 class Dispatcher
 {
 public:
@@ -116,17 +116,17 @@
 
     virtual auto submit(Work work, TimePoint now) -> Actions = 0;
 
-    /// Gives back the slot of work that was started.
+    /// Releases the slot of started work.
     virtual auto finished(WorkId id, WorkOutcome outcome, TimePoint now) -> Actions = 0;
 
-    /// Forgets work that still waits, because its caller left.
+    /// Removes work that still waits, because its caller disconnected or gave up.
     virtual auto cancel(WorkId id, TimePoint now) -> Actions = 0;
 
     virtual auto observe(const Observation &observation, TimePoint now) -> Actions = 0;
     virtual auto viewChanged(std::shared_ptr<const membership::ClusterView> view, TimePoint now) -> Actions = 0;
     virtual auto shareChanged(const UpstreamId &upstream, Share share, TimePoint now) -> Actions = 0;
 
-    /// Lets time pass; called at nextTick() or later.
+    /// Handles expired timers; called at nextTick() or later.
     virtual auto tick(TimePoint now) -> Actions = 0;
     [[nodiscard]] virtual auto nextTick() const -> std::optional<TimePoint> = 0;
 
--- a/include/sapphirespool/Decisions/factory.h
+++ b/include/sapphirespool/Decisions/factory.h
@@ -1,4 +1,4 @@
-// factory.h: makes the dispatchers.
+// factory.h: creates dispatchers.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -9,10 +9,10 @@
 namespace sapphirespool::decisions
 {
 
-/// \return the dispatcher of the traffic path
+/// \return the dispatcher for production traffic
 [[nodiscard]] auto makeDispatcher(DispatcherSettings settings) -> std::unique_ptr<Dispatcher>;
 
-/// \return the baseline that the measurements compare with: one queue in order of arrival, static shares, no module
+/// \return the baseline for benchmarks: one FIFO queue and static shares, with all load control modules disabled
 [[nodiscard]] auto makeFifoDispatcher(VmId vm, ZoneId zone) -> std::unique_ptr<Dispatcher>;
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/fairqueue.h
+++ b/include/sapphirespool/Decisions/fairqueue.h
@@ -1,4 +1,4 @@
-// fairqueue.h: orders waiting work across callers.
+// fairqueue.h: orders waiting work fairly across callers.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -15,27 +15,29 @@
 namespace sapphirespool::decisions
 {
 
-/// One waiting piece of work.
+/// A waiting piece of work.
 struct QueueEntry
 {
     WorkId id;
     CallerId caller;
 };
 
-/// Queue over flows; a flow is a caller, or a level of attained service, or everything (order of arrival).
+/// Queue over flows. Depending on the discipline, a flow is a caller, a level of attained service, or all work (FIFO).
 ///
 /// Load pattern: one caller sends ten times what the others send, or one caller's statements take a hundred times longer.
-/// Without it everybody waits behind that caller's backlog.
-/// The order in use is that of levels relative to the mean caller: order of arrival among callers of like use, and callers above
-/// three times the mean behind them, by levels whose thresholds and weights grow tenfold. Levels of attained service with exponentially
-/// spaced thresholds are taken from "Bottleneck-Aware Coflow Scheduling Without Prior Knowledge" (Liu et al.), which takes them from Aalo; the
-/// thresholds there are absolute, which put all callers below the first in overload and was measured worse.
-/// Start-time fair queueing, kept for comparison, serves the flow with the lowest virtual time. Lengths are unknown beforehand, so a start is charged the
-/// mean and the difference to the true length follows when the work ends; a caller's debt is bounded by what it has running.
+/// Without it all callers wait behind that caller's backlog.
+/// The default discipline uses levels relative to the mean caller: callers with similar usage are served in order of arrival,
+/// and callers above three times the mean come after them, in levels whose thresholds and weights are spaced by a factor of ten.
+/// Levels of attained service with exponentially spaced thresholds come from "Bottleneck-Aware Coflow Scheduling Without Prior
+/// Knowledge" (Liu et al.), which takes them from Aalo. The thresholds there are absolute; under overload they put all callers
+/// into the levels below the first, which gave worse results.
+/// Start-time fair queueing, available for comparison, serves the flow with the lowest virtual time. Service times are unknown
+/// in advance, so a start is charged the mean, and the difference to the actual time is charged when the work ends. A caller's
+/// debt is therefore bounded by its running work.
 class FairQueue
 {
 public:
-    /// Level of a caller, from 0, for the relative levels.
+    /// Returns the level of a caller, from 0, for relative levels.
     using LevelOf = std::function<std::uint32_t(const CallerId &, TimePoint)>;
 
     explicit FairQueue(QueueSettings settings, LevelOf relativeLevel = {});
@@ -43,30 +45,30 @@
     auto push(const QueueEntry &entry, TimePoint now) -> void;
 
     /// Removes and returns the first entry in order that \p eligible accepts.
-    /// At most scanLimit flows are looked at, so that work nobody can serve now does not cost time on each call.
+    /// Examines at most scanLimit entries, which bounds the cost of a call while the queue holds work that no upstream can serve now.
     auto pop(const std::function<bool(WorkId)> &eligible, Duration expectedCost, TimePoint now) -> std::optional<QueueEntry>;
 
-    /// \return the entry that would come first; the queue must not be empty
+    /// \return the first entry in order; the queue must not be empty
     [[nodiscard]] auto front() const -> const QueueEntry &;
 
-    /// Removes \p entry wherever it stands.
+    /// Removes \p entry from any position.
     auto erase(const QueueEntry &entry) -> void;
 
-    /// Corrects the charge of work that was popped at \p expected and took \p actual.
+    /// Corrects the charge of finished work that was charged \p expected by pop() and took \p actual.
     auto charge(const CallerId &caller, Duration expected, Duration actual, TimePoint now) -> void;
 
     [[nodiscard]] auto size() const -> std::size_t;
 
-    /// \return how many entries of \p cost would be served before a new one of \p caller
+    /// \return the estimated number of entries, each of cost \p cost, that are served before a new entry of \p caller
     [[nodiscard]] auto ahead(const CallerId &caller, Duration cost, TimePoint now) const -> std::size_t;
 
-    /// \return entries of \p caller
+    /// \return the number of entries of \p caller
     [[nodiscard]] auto sizeOf(const CallerId &caller) const -> std::size_t;
 
-    /// \return callers that have entries
+    /// \return the number of callers that have entries
     [[nodiscard]] auto activeCallers() const -> std::size_t;
 
-    /// Flows looked at in one pop.
+    /// Maximum number of entries examined by one pop().
     static constexpr std::size_t scanLimit = 32;
 
 private:
@@ -104,7 +106,7 @@
     std::unordered_map<CallerId, Caller> callers;
     /// Flows with entries, by virtual time.
     Order order;
-    /// Callers with entries, by their number.
+    /// Callers with entries, by number of entries.
     std::set<std::pair<std::size_t, CallerId>> lengths;
     double virtualNow = 0;
     std::size_t count = 0;
--- a/include/sapphirespool/Decisions/forwardrouter.h
+++ b/include/sapphirespool/Decisions/forwardrouter.h
@@ -1,4 +1,4 @@
-// forwardrouter.h: chooses the upstream, and with it the owner proxy, to which an entry proxy forwards work.
+// forwardrouter.h: chooses the upstream, and thereby the owner proxy, to which an entry proxy forwards work.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -9,25 +9,26 @@
 namespace sapphirespool::decisions
 {
 
-/// Peak latency and own work under way for each upstream.
+/// Balances forwarded work by peak-sensitive latency and in-flight work of each upstream.
 ///
-/// Load pattern: each upstream's queue is at one proxy in its zone; twelve entry proxies forward to it and see only their own work.
-/// Without the router reads go in turn to both replicas, also to one that is ten times slower, and never to an idle primary.
-/// The cost of an upstream is its recent latency times the work that this proxy has there, as in the balancers that weigh by
-/// peak latency; with three members all are compared, which is better than two choices at random.
+/// Load pattern: each upstream's queue is at one proxy in its zone; twelve entry proxies forward to it, and each sees only its own work.
+/// Without the router reads go round-robin to both replicas, even to one that is ten times slower, and never to an idle primary.
+/// The cost of an upstream is its recent latency times this proxy's in-flight work there, as in peak EWMA load balancers.
+/// A group has three members, so all are compared, which is better than two random choices.
 class ForwardRouter
 {
 public:
-    /// Latency of the best replica from which reads that accept age may go to the primary; the same time for which a read
-    /// waits for a replica within one proxy.
+    /// Latency of the best replica above which reads that accept stale data may go to the primary; equal to the time for which
+    /// a read waits for a replica within one proxy.
     static constexpr auto spillLatency = std::chrono::milliseconds(100);
 
-    /// \return the upstream for \p work; nothing if no upstream can serve it
+    /// \return the upstream for \p work, or nothing if none can serve it
     [[nodiscard]] auto choose(const membership::GroupView &group, const Work &work, TimePoint now) const -> std::optional<UpstreamId>;
 
+    /// Records that work was forwarded.
     auto sent(const UpstreamId &upstream) -> void;
 
-    /// Records the end of work that was forwarded. \param latency time until the answer, or what a refusal said about the wait
+    /// Records the end of forwarded work. \param latency time until the answer, or the wait that a refusal stated
     auto ended(const UpstreamId &upstream, Duration latency, TimePoint now) -> void;
 
 private:
--- a/include/sapphirespool/Decisions/freshness.h
+++ b/include/sapphirespool/Decisions/freshness.h
@@ -1,4 +1,4 @@
-// freshness.h: decides whether an upstream's data covers what a session has seen.
+// freshness.h: compares an upstream's log position with the position that a session has observed.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -6,20 +6,20 @@
 namespace sapphirespool::decisions
 {
 
-/// Compares positions through the group's terms.
+/// Compares log positions across the terms of \p group.
 ///
-/// A position that lies above the point where a later term began is void: no member will ever hold that entry, and a session
-/// that waited for it would wait for ever. A member of a lower term than the session's is never fresh enough: its entries past
-/// the promotion may be void.
-/// \return whether data at (\p term, \p applied) holds everything that stands up to \p needed
+/// Entries of a term past the point where a later term began were discarded by the promotion: no member will ever hold them,
+/// and a session that waited for such a position would wait forever. A member of a lower term than the session's is never
+/// fresh enough, because its entries past the promotion may be among those discarded.
+/// \return whether data at (\p term, \p applied) holds all entries up to \p needed that are still valid
 [[nodiscard]] auto covers(const membership::GroupView &group, Term term, LogPosition applied, const NeededPosition &needed) -> bool;
 
-/// \return the highest position of \p needed that still stands in \p group
+/// \return the highest position up to \p needed that is still valid in \p group
 [[nodiscard]] auto standingPosition(const membership::GroupView &group, const NeededPosition &needed) -> LogPosition;
 
-/// A member that still follows an earlier primary may hold entries that the promotion dropped. A session that read them would see them
-/// vanish with its next read elsewhere.
-/// \return whether (\p term, \p applied) holds entries that later terms made void
+/// Detects a member whose log diverged: while it still follows an earlier primary, it may hold entries that the promotion discarded.
+/// A session that read them would no longer find them in its next read from another member.
+/// \return whether data at (\p term, \p applied) includes entries that later terms discarded
 [[nodiscard]] auto holdsVoidEntries(const membership::GroupView &group, Term term, LogPosition applied) -> bool;
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/groupscheduler.h
+++ b/include/sapphirespool/Decisions/groupscheduler.h
@@ -22,7 +22,7 @@
 namespace sapphirespool::decisions
 {
 
-/// Takes what a scheduler decided.
+/// Receives the decisions of a scheduler.
 class DecisionSink
 {
 public:
@@ -35,7 +35,7 @@
     virtual auto refuse(const Work &work, RefusalReason reason, std::optional<Duration> retryAfter) -> void = 0;
 };
 
-/// What work may use; the first two only the primary.
+/// Class of work by the upstreams that may serve it: only the primary serves the first two.
 enum class Lane : std::uint8_t {
     Write,
     CurrentRead,
@@ -44,7 +44,10 @@
 
 constexpr std::size_t laneCount = 3;
 
-/// Scheduler of one group in one proxy.
+/// Schedules the work of one database group within one proxy.
+///
+/// submit() admits work into the queue of its lane or refuses it; waiting work starts as slots become available.
+/// Outcomes of finished work adjust service time estimates, concurrency limits and ejections of the upstreams.
 class GroupScheduler
 {
 public:
@@ -57,7 +60,7 @@
     /// \return false if the work is not running here
     auto finished(WorkId id, WorkOutcome outcome, TimePoint now, DecisionSink &sink) -> bool;
 
-    /// \return false if the work does not wait here
+    /// \return false if the work is not waiting here
     auto cancel(WorkId id, TimePoint now, DecisionSink &sink) -> bool;
 
     auto observe(const Observation &observation, TimePoint now, DecisionSink &sink) -> void;
@@ -68,7 +71,7 @@
     auto tick(TimePoint now, DecisionSink &sink) -> void;
     [[nodiscard]] auto nextTick(TimePoint now) const -> std::optional<TimePoint>;
 
-    /// \return the demand on \p upstream; nothing if it is not of this group
+    /// \return the demand on \p upstream, or nothing if it is not of this group
     [[nodiscard]] auto demand(const UpstreamId &upstream) const -> std::optional<SlotDemand>;
 
 private:
@@ -79,7 +82,7 @@
         TimePoint since;
         TimePoint latestStart;
         TimePoint patienceEnd;
-        /// Waits for the write on its key to end, outside the lanes' order.
+        /// Whether the work waits outside its lane's queue until the running write on the same key ends.
         bool parked = false;
     };
     struct Running
@@ -93,12 +96,12 @@
     struct Estimate
     {
         Duration wait{};
-        /// Time in which the lane's servers take one more piece of work.
+        /// Mean interval between two starts of the lane's work.
         Duration spacing{};
     };
     using Timers = std::set<std::pair<TimePoint, WorkId>>;
 
-    // Placing: groupplacing.cpp
+    // Placement: groupplacing.cpp
     auto pump(TimePoint now, DecisionSink &sink) -> void;
     auto fill(UpstreamState &upstream, TimePoint now, DecisionSink &sink) -> bool;
     auto takeFor(UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>;
@@ -145,7 +148,7 @@
     membership::GroupView group;
     std::size_t proxies = 1;
     std::vector<std::unique_ptr<UpstreamState>> members;
-    /// Before the queues, which ask it for levels.
+    /// Declared before the queues, which refer to it for caller levels.
     SlotGuard guard;
     std::array<FairQueue, laneCount> queues;
     std::array<double, laneCount> laneTimes{};
@@ -160,7 +163,7 @@
     Brownout brownout;
     std::array<ReturnBook, laneCount> returns;
     std::optional<TimePoint> primaryLostAt;
-    /// Part of the primary's recent starts that were its own work, not reads that accept age.
+    /// Fraction of the primary's recent starts that only it could serve: writes and current reads.
     double primaryOwnPart = 0;
     std::size_t turn = 0;
     std::uint64_t browned = 0;
--- a/include/sapphirespool/Decisions/slotguard.h
+++ b/include/sapphirespool/Decisions/slotguard.h
@@ -1,4 +1,4 @@
-// slotguard.h: keeps one kind of work from taking all slots of an upstream.
+// slotguard.h: bulkheads that prevent one kind of work from taking all slots of an upstream.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -15,29 +15,32 @@
 
 /// Bulkheads within one database group.
 ///
-/// Load patterns: a caller sends ten times what others send; a caller's reports take a hundred times as long as bookings; writes crowd on one row; one service
-/// of several on the same databases becomes slow. Without it all slots are held by the long, blocked or slow work, however fairly it was queued: a statement
-/// that runs cannot be interrupted. Lengths are unknown beforehand; a caller's past statements tell which callers are long.
+/// Load patterns: a caller sends ten times what others send; a caller's reports take a hundred times as long as bookings; writes
+/// contend for one row; one of several services on the same databases becomes slow.
+/// Without it the long, blocked or slow work holds all slots, however fair the queue is, because a running statement cannot be
+/// interrupted. Service times are unknown in advance, so a caller is classified as long by its past statements.
 class SlotGuard
 {
 public:
     explicit SlotGuard(BulkheadSettings settings);
 
-    /// \param usable slots of \p upstream that may be used now, \p running of them in use
+    /// \param usable slots of \p upstream that may be used now
+    /// \param running slots of \p upstream in use
+    /// \return whether \p work may take a slot of \p upstream
     [[nodiscard]] auto admits(const Work &work, const UpstreamId &upstream, std::uint32_t usable, std::uint32_t running, TimePoint now) const -> bool;
 
     auto started(const Work &work, const UpstreamId &upstream, TimePoint now) -> void;
     auto ended(const Work &work, const UpstreamId &upstream, Duration took, TimePoint now) -> void;
 
-    /// \return whether a write on this key would only wait for the one that runs
+    /// \return whether a write on this key would block behind the one that is running
     [[nodiscard]] auto keyBusy(const Work &work) const -> bool;
 
     [[nodiscard]] auto isLong(const CallerId &caller) const -> bool;
 
-    /// \return 0 for a caller that uses up to hotFactor times what the mean active caller uses, 1 up to \p spacing times that, and so on
+    /// \return 0 for a caller whose usage is at most hotFactor times that of the mean active caller, 1 up to \p spacing times that, and so on
     [[nodiscard]] auto useLevel(const CallerId &caller, std::uint32_t spacing, TimePoint now) const -> std::uint32_t;
 
-    /// \return whether the caller uses several times what the mean active caller uses
+    /// \return whether the caller's usage exceeds hotFactor times that of the mean active caller
     [[nodiscard]] auto isHot(const CallerId &caller, TimePoint now) const -> bool;
 
 private:
@@ -50,7 +53,7 @@
     struct CallerRecord
     {
         ServiceEstimate length;
-        /// Slot time used, in seconds, fading.
+        /// Slot time used, in seconds, with exponential decay.
         double used = 0;
         TimePoint usedAt{};
     };
@@ -66,14 +69,14 @@
     std::unordered_map<CallerId, CallerRecord> callers;
     double usedByAll = 0;
     TimePoint usedByAllAt{};
-    /// Callers seen in this second and in the one before.
+    /// Callers whose work ended in the current and in the previous window of one second.
     std::unordered_set<CallerId> activeNow;
     std::unordered_set<CallerId> activeBefore;
     TimePoint activeSince{};
     std::unordered_map<UpstreamId, UpstreamUse> upstreams;
     std::unordered_map<ServiceId, TimePoint> serviceSeen;
     std::unordered_map<std::string, std::uint32_t> keys;
-    /// Running work that was counted as long when it started.
+    /// Running work whose caller was classified as long when it started.
     std::unordered_set<WorkId> longWork;
 };
 
--- a/include/sapphirespool/Decisions/upstreamstate.h
+++ b/include/sapphirespool/Decisions/upstreamstate.h
@@ -1,4 +1,4 @@
-// upstreamstate.h: what one proxy knows of an upstream and how much work it may send there.
+// upstreamstate.h: state of an upstream within one proxy, and limits on the work sent there.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -11,24 +11,24 @@
 namespace sapphirespool::decisions
 {
 
-/// Takes an upstream out of the reads when it is slow or fails, for a time that doubles.
+/// Outlier detection: ejects a slow or failing upstream from the replicas that serve reads, with exponential backoff.
 ///
 /// Load pattern: one of three replicas becomes ten times slower (a full disk, a noisy neighbour).
-/// Without it each read that is sent there waits ten times as long, and a third of the reads are.
+/// Without it a third of the reads go there and take ten times as long.
 class Ejection
 {
 public:
     explicit Ejection(EjectionSettings settings);
 
-    /// Records how work ended. \param peerMean mean service time of the other members; zero if unknown
-    /// \return whether the upstream should be ejected now; the caller checks the floor and calls eject()
+    /// Records the outcome of work. \param peerMean median of the other members' mean service times; zero if unknown
+    /// \return whether the upstream should be ejected now; the caller checks the minimum number of remaining members and calls eject()
     auto record(WorkOutcome outcome, const ServiceEstimate &own, Duration peerMean) -> bool;
 
     auto eject(TimePoint now) -> void;
 
     [[nodiscard]] auto ejected(TimePoint now) const -> bool;
 
-    /// \return when the upstream returns, if it is out
+    /// \return when the ejection ends, if the upstream is ejected
     [[nodiscard]] auto returnsAt(TimePoint now) const -> std::optional<TimePoint>;
 
 private:
@@ -39,12 +39,12 @@
     std::optional<TimePoint> until;
 };
 
-/// Limit of concurrent work that falls when the upstream refuses or fails and rises with answers.
+/// Adaptive concurrency limit: decreases when the upstream refuses or fails and increases with answers.
 ///
-/// Load pattern: the upstream serves less than its announcement says, for example while it rebuilds an index.
-/// Without it the full share keeps running there, each statement slower, and timeouts turn its work into waste.
-/// Additive increase by one slot for each full round of answers and multiplicative decrease, as in TCP, share a limit fairly
-/// between proxies that do not talk to each other.
+/// Load pattern: the upstream has less capacity than its health report states, for example while it rebuilds an index.
+/// Without it the full share keeps running there, each statement is slower, and statements that time out waste capacity.
+/// Additive increase by one slot for each full round of answers and multiplicative decrease (AIMD), as in TCP, divide the
+/// capacity fairly between proxies that do not communicate.
 class ConcurrencyLimit
 {
 public:
@@ -52,19 +52,19 @@
 
     auto record(WorkOutcome outcome, std::uint32_t share) -> void;
 
-    /// \return slots that may be used of \p share; at least one if the share has one
+    /// \return slots of \p share that may be used; at least one if the share has one
     [[nodiscard]] auto limit(std::uint32_t share) const -> std::uint32_t;
 
 private:
     ConcurrencySettings settings;
-    /// Unset: the whole share.
+    /// Current limit; while unset, the whole share may be used.
     std::optional<double> bound;
 };
 
-/// Raises the usable slots step by step after a promotion, a restart or an ejection.
+/// Raises the usable slots linearly after a promotion, a restart or an ejection.
 ///
-/// Load pattern: a promotion gap of a second leaves a second's worth of writes waiting; caches of the new primary are cold.
-/// Without it all of them start at once, each slow, and time out together.
+/// Load pattern: writes queue up during the promotion, for example for one second, and the new primary starts with cold caches.
+/// Without it all of them start at once, run slowly and time out together.
 class SlowStart
 {
 public:
@@ -74,7 +74,7 @@
 
     [[nodiscard]] auto limit(std::uint32_t share, TimePoint now) const -> std::uint32_t;
 
-    /// \return when the limit next rises
+    /// \return when the limit rises next
     [[nodiscard]] auto nextStep(std::uint32_t share, TimePoint now) const -> std::optional<TimePoint>;
 
 private:
@@ -82,14 +82,14 @@
     std::optional<TimePoint> since;
 };
 
-/// All of it for one upstream.
+/// State of one upstream: its share, running work, replication state and limits.
 struct UpstreamState
 {
     UpstreamState(const DispatcherSettings &settings, membership::UpstreamView view);
 
     membership::UpstreamView view;
     Share share;
-    /// Whether share came from the allocator.
+    /// Whether the share allocator assigned the share; otherwise it is the static default.
     bool granted = false;
     std::uint32_t running = 0;
     std::optional<Observation> observation;
@@ -104,7 +104,7 @@
 
     [[nodiscard]] auto hasFree(TimePoint now) const -> bool;
 
-    /// \return by how much its data may be behind by \p now
+    /// \return the upper bound of its replication lag at \p now, or nothing before the first observation
     [[nodiscard]] auto age(TimePoint now) const -> std::optional<Duration>;
 };
 
--- a/lib/Decisions/fairqueue.cpp
+++ b/lib/Decisions/fairqueue.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-/// Pushes between two sweeps of idle flows, besides one for each flow, so that a push pays for a constant part of a sweep.
+/// Pushes between two sweeps of idle flows, in addition to one per flow; the amortized cost of a sweep per push is constant.
 constexpr std::size_t sweepInterval = 4096;
-/// Work served before a new entry, as a multiple of what waits, at most.
+/// Upper bound of the work served before a new entry, as a multiple of the waiting work.
 constexpr std::size_t latecomerFactor = 2;
-/// By how much a caller above the mean is slowed: with the others at three quarters of the capacity a quarter is left.
+/// Slowdown of a caller above the mean: while the others use three quarters of the capacity, a quarter remains for it.
 constexpr std::size_t leftoverFactor = 4;
-/// Attained service, in seconds, below which a caller without entries is forgotten.
+/// Attained service, in seconds, below which the record of a caller without entries is removed.
 constexpr double forgottenService = 0.001;
 
 auto seconds(Duration duration) -> double
@@ -32,7 +32,7 @@
     : settings(settings)
     , relativeLevel(std::move(relativeLevel))
 {
-    assert((settings.discipline != QueueDiscipline::RelativeAttained || this->relativeLevel) && "relative levels need a source");
+    assert((settings.discipline != QueueDiscipline::RelativeAttained || this->relativeLevel) && "relative levels require a level function");
 }
 
 auto FairQueue::usesLevels() const -> bool
@@ -78,7 +78,7 @@
 
 auto FairQueue::activate(const FlowId &id, Flow &flow) -> void
 {
-    // A flow that was idle starts at the present; without it, it could claim all the time it did not use at once.
+    // A flow that was idle starts at the current virtual time; otherwise it could claim all its unused time at once.
     flow.virtualTime = std::max(flow.virtualTime, this->virtualNow);
     this->order.emplace(flow.virtualTime, id);
 }
@@ -106,7 +106,7 @@
 auto FairQueue::uncountEntry(const CallerId &caller) -> void
 {
     auto &entries = this->callers[caller].entries;
-    assert(entries > 0 && "a counted entry");
+    assert(entries > 0 && "the caller has a counted entry");
     this->lengths.erase({entries, caller});
     --entries;
     if (entries > 0) {
@@ -144,8 +144,8 @@
 
 auto FairQueue::demote(const FlowId &id, Flow &flow, TimePoint now) -> bool
 {
-    // A burst is queued before its first statement has shown how long it takes; without this step all of it would keep the
-    // first level's place.
+    // A burst is queued before its first statement has ended and its cost is known; without this step the whole burst would
+    // stay in the first level.
     const auto present = this->flowOf(flow.entries.front().caller, now);
     if (present == id) {
         return false;
@@ -189,7 +189,7 @@
 
 auto FairQueue::front() const -> const QueueEntry &
 {
-    assert(!this->order.empty() && "a queue with entries");
+    assert(!this->order.empty() && "the queue is not empty");
     return this->flows.at(this->order.begin()->second).entries.front();
 }
 
@@ -282,7 +282,7 @@
     const auto debt = flow == this->flows.end() ? 0.0 : std::max(0.0, flow->second.virtualTime - this->virtualNow);
     const auto rounds = 1.0 + static_cast<double>(own) + debt / seconds(cost);
     const auto served = static_cast<double>(own) + static_cast<double>(others) * rounds;
-    // Later arrivals of callers with less in the queue go ahead as well, but not more of them than wait now.
+    // Later arrivals of callers with fewer entries are also served first; their number is assumed not to exceed the waiting entries.
     return std::min(latecomerFactor * this->count, static_cast<std::size_t>(served));
 }
 
--- a/lib/Decisions/forwardrouter.cpp
+++ b/lib/Decisions/forwardrouter.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-/// A latency halves in this time without an answer, so that an upstream that got nothing for a while is tried again.
+/// Half-life in seconds of a latency estimate without answers: an upstream that received no work for a while is tried again.
 constexpr auto halfLife = 1.0;
-/// Part of a new latency below the present one; one above it counts more, so that a slow upstream is avoided at once.
+/// Weights of a new latency below and above the current estimate. An increase weighs more, so that a slow upstream is avoided at once.
 constexpr auto fallWeight = 1.0 / 16;
 constexpr auto riseWeight = 1.0 / 4;
-/// Latency below which differences are noise, in seconds.
+/// Latency in seconds below which differences are noise.
 constexpr auto leastLatency = 0.005;
 
 auto seconds(Duration duration) -> double
@@ -73,7 +73,7 @@
 auto ForwardRouter::ended(const UpstreamId &upstream, Duration latency, TimePoint now) -> void
 {
     auto &record = this->records[upstream];
-    assert(record.underWay > 0 && "work that was sent");
+    assert(record.underWay > 0 && "the work was forwarded");
     --record.underWay;
     const auto present = this->latency(upstream, now);
     const auto measured = seconds(latency);
--- a/lib/Decisions/freshness.cpp
+++ b/lib/Decisions/freshness.cpp
@@ -26,7 +26,7 @@
     if (term < needed.term) {
         return false;
     }
-    // A term that the view does not know yet may have dropped entries that this member never held.
+    // The view has no history of this term yet; its promotion may have discarded entries that this member never held.
     if (term > group.term) {
         return false;
     }
--- a/lib/Decisions/groupadmission.cpp
+++ b/lib/Decisions/groupadmission.cpp
@@ -9,17 +9,17 @@
 namespace
 {
 
-/// Wait told when nothing was measured yet.
+/// Retry delay while admission control, which estimates waits, is disabled.
 constexpr auto defaultRetryAfter = std::chrono::milliseconds(1000);
-/// Times its equal part of the queue that a caller may hold once the queue is half full.
+/// Multiple of its equal share of the queue that a caller may hold once the queue is half full.
 constexpr std::size_t overQuotaFactor = 2;
-/// Part of the wait allowed below which nobody's part is looked at.
+/// Fraction of the wait limit below which callers' shares of the queue are not enforced.
 constexpr auto quietPart = 0.1;
-/// Higher lanes' work that is served before one piece of a lane's own, by the weights 8, 4 and 1.
+/// Writes that the primary serves for each current read, from the lane weights 8, 4 and 1.
 constexpr std::size_t writesBeforeRead = 2;
-/// Part of the primary's starts that reads which accept age have at least, by the weights 8, 4 and 1.
+/// Minimum fraction of the primary's starts for reads that accept stale data, from the lane weights 8, 4 and 1.
 constexpr auto leastTolerantPart = 1.0 / 13;
-/// One in so many reads passes in a brownout, so that no age of reads starves.
+/// One in this many reads is admitted during a brownout, so that no class of reads starves.
 constexpr std::uint64_t readsPassedInBrownout = 10;
 
 auto scaled(Duration duration, double factor) -> Duration
@@ -76,7 +76,7 @@
     const auto *const primary = this->group.primaryMember();
     if (primary == nullptr) {
         const auto passed = this->primaryLostAt ? now - *this->primaryLostAt : Duration::zero();
-        // Past the expected time nothing is known; half of it again is the next guess.
+        // After the expected time the remaining time is unknown; half of the expected time is assumed.
         const auto gap = std::max<Duration>(this->settings.admission.expectedGap - passed, this->settings.admission.expectedGap / 2);
         return {.wait = gap + service * this->primaryAhead(work.caller, lane, now), .spacing = service};
     }
@@ -88,7 +88,7 @@
     const auto spacing = service / slots;
     const auto parkedHere = lane == Lane::Write ? this->parked.find(work.key) : this->parked.end();
     if (parkedHere != this->parked.end()) {
-        // Writes on one key run one after the other, whatever slots are free.
+        // Writes on one key run one after another, regardless of free slots.
         return {.wait = std::max(spacing * ahead, service * (parkedHere->second.size() + 1)), .spacing = service};
     }
     return {.wait = spacing * ahead, .spacing = spacing};
@@ -96,7 +96,7 @@
 
 auto GroupScheduler::givesWay(const Work &work, TimePoint now) -> bool
 {
-    // A replica that only has to catch up with what the session saw will serve it without the primary.
+    // A replica that only has to reach the position of the session will serve the read without the primary.
     auto ageOnly = work;
     ageOnly.needed.reset();
     if (this->brownout.admits(work.maxAge) || this->anyReplicaServes(ageOnly, now)) {
@@ -108,8 +108,8 @@
 
 auto GroupScheduler::overPart(const Work &work, Lane lane, const Estimate &estimate, Duration budget) const -> bool
 {
-    // In order of arrival a hot caller's backlog delays all. Bounding its part of the queue bounds that delay, and who is refused
-    // is the caller that caused it.
+    // In FIFO order the backlog of a hot caller delays all callers. Limiting its share of the queue bounds that delay, and the
+    // refusals go to the caller that causes it.
     const auto &laneQueue = this->queue(lane);
     const auto own = laneQueue.sizeOf(work.caller);
     if (own < 2 || estimate.wait < scaled(budget, quietPart)) {
@@ -151,7 +151,7 @@
     if (waitingNow >= queueLimit) {
         return RefusalReason::QueueFull;
     }
-    // A caller's part is refused before the queue is full, and never taken back: accepted work of one caller is not pushed out by another's.
+    // A caller over its share is refused before the queue is full. Admitted work is never evicted in favour of another caller's.
     const auto &laneQueue = this->queue(lane);
     const auto part = std::max<std::size_t>(1, overQuotaFactor * queueLimit / (laneQueue.activeCallers() + 1));
     const auto fair = this->settings.queue.discipline != QueueDiscipline::Fifo;
--- a/lib/Decisions/groupplacing.cpp
+++ b/lib/Decisions/groupplacing.cpp
@@ -11,10 +11,10 @@
 namespace
 {
 
-/// Weights of the lanes on the primary. A write is served before reads, and a read that accepts age last, yet each gets at
-/// least a thirteenth of the slots while it waits, so none starves.
+/// Weights of the lanes on the primary. Writes are preferred to reads, and reads that accept stale data come last, but each lane
+/// gets at least a thirteenth of the slots while it has waiting work, so none starves.
 constexpr auto laneWeights = std::to_array<double>({8, 4, 1});
-/// Follows a change of the load within about 64 starts.
+/// Smoothing weight; the average follows a change of the load within about 64 starts.
 constexpr auto ownPartWeight = 1.0 / 64;
 static_assert(laneWeights.size() == laneCount);
 
@@ -53,14 +53,14 @@
     if (!this->settings.routing.enabled) {
         return !this->anyReplicaServes(waiting.work, now);
     }
-    // Without a replica the lanes' weights decide, and admission has thinned the reads by the brownout's level.
+    // Without a usable replica the lane weights apply; admission has already shed reads according to the brownout level.
     if (!this->anyReplicaServes(waiting.work, now)) {
         return true;
     }
     if (now < waiting.patienceEnd || !this->brownout.admits(waiting.work.maxAge)) {
         return false;
     }
-    // One slot of the primary stays free for writes: a read that could have gone elsewhere must not make a booking wait.
+    // One slot of the primary stays free for writes: a read that a replica could serve must not make a booking wait.
     const auto usable = primary.usable(now);
     return usable < 2 || primary.running + 1 < usable;
 }
@@ -74,7 +74,7 @@
     if (!this->isPrimary(upstream)) {
         return waiting.lane == Lane::TolerantRead && this->replicaServes(work, upstream, now);
     }
-    // A session that saw a later term than this view's must not read from what may be the primary of the past.
+    // A session that has observed a later term than this view's must not read from what may be the former primary.
     if (work.needed && work.needed->term > this->group.term) {
         return false;
     }
@@ -108,7 +108,7 @@
         ++this->turn;
         std::rotate(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(this->turn % order.size()), order.end());
     }
-    // Replicas first, so that the primary takes of the reads only what they leave.
+    // Replicas come first, so that the primary serves only the reads that they cannot take.
     std::stable_partition(order.begin(), order.end(), [this](const UpstreamState *upstream) {
         return !this->isPrimary(*upstream);
     });
@@ -178,8 +178,8 @@
 auto GroupScheduler::startOn(UpstreamState &upstream, WorkId id, TimePoint now, DecisionSink &sink) -> void
 {
     auto entry = this->forget(id);
-    assert(upstream.running < upstream.usable(now) && "a free slot");
-    assert((this->isPrimary(upstream) || entry.lane == Lane::TolerantRead) && "only reads that accept age go to a replica");
+    assert(upstream.running < upstream.usable(now) && "the upstream has a free slot");
+    assert((this->isPrimary(upstream) || entry.lane == Lane::TolerantRead) && "only reads that accept stale data go to a replica");
     ++upstream.running;
     this->guard.started(entry.work, upstream.view.id, now);
     sink.start(entry.work, upstream.view.id);
--- a/lib/Decisions/groupscheduler.cpp
+++ b/lib/Decisions/groupscheduler.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Slot times decide about admission for many callers at once; they follow more slowly than an upstream's own estimate.
+/// Slot times affect the admission of many callers at once, so they are smoothed more than the estimate of a single upstream.
 constexpr auto slotTimeWeight = 1.0 / 64;
 
 auto makeQueues(const QueueSettings &settings, const SlotGuard &guard) -> std::array<FairQueue, laneCount>
@@ -92,8 +92,8 @@
             present.back()->view = member;
         } else {
             present.push_back(std::make_unique<UpstreamState>(this->settings, member));
-            // Work sent before a restart, or before the member left the view for a while, still has to be given back.
-            // Without counting it the member would get more work than its share, and giving it back would break the count.
+            // Work sent before a restart, or before the member left the view for a while, still holds its slot until it ends.
+            // If it were not counted, the member would receive more work than its share, and the count would underflow when it ends.
             present.back()->running = this->runningOn(member.id);
             if (restarted) {
                 present.back()->share = (*old)->share;
@@ -126,7 +126,7 @@
 
 auto GroupScheduler::submit(Work work, std::uint32_t queueLimit, TimePoint now, DecisionSink &sink) -> void
 {
-    assert(!this->waiting.contains(work.id) && !this->running.contains(work.id) && "each piece of work is submitted once");
+    assert(!this->waiting.contains(work.id) && !this->running.contains(work.id) && "work is submitted only once");
     this->expire(now, sink);
     const auto lane = laneOf(work);
     const auto estimate = this->estimate(work, lane, now);
@@ -170,7 +170,7 @@
         lanePark[held.key].push_back(id);
     } else {
         if (waitsForKey) {
-            // Marks the key: the next write on it waits outside the lane, where it would be looked at in vain.
+            // Marks the key as taken: the next write on it waits outside the lane queue, where it would be scanned in vain.
             lanePark[held.key];
         }
         auto &laneQueue = this->queue(lane);
@@ -186,7 +186,7 @@
 auto GroupScheduler::forget(WorkId id) -> Waiting
 {
     auto node = this->waiting.extract(id);
-    assert(!node.empty() && "work that waits");
+    assert(!node.empty() && "the work is waiting");
     auto entry = std::move(node.mapped());
     this->expiries.erase({entry.latestStart, id});
     this->patience.erase({entry.patienceEnd, id});
@@ -230,9 +230,9 @@
     }
     auto *const upstream = this->findUpstream(ended.upstream);
     if (upstream != nullptr) {
-        assert(upstream->running > 0 && "a slot to give back");
+        assert(upstream->running > 0 && "the work holds a slot");
         --upstream->running;
-        // A transaction's time is its caller's more than the upstream's.
+        // The duration of a transaction depends more on its caller than on the upstream.
         if (!ended.work.transaction || outcome == WorkOutcome::Failed) {
             this->judge(*upstream, outcome, took, now);
         }
@@ -270,7 +270,7 @@
         return;
     }
     const auto &held = upstream->observation;
-    // Answers overtake each other; an older report must not make an upstream look older than it was seen to be.
+    // Answers may arrive out of order; an older report must not move the known position of an upstream back.
     const auto older = held && (observation.term < held->term || (observation.term == held->term && observation.applied < held->applied));
     if (older) {
         return;
@@ -314,8 +314,8 @@
     }
     upstream.concurrency.record(outcome, upstream.share.slots);
     const auto wanted = upstream.ejection.record(outcome, upstream.service, this->peerMean(upstream));
-    // The floor: at least two members of the group stay in, whatever their times; else a common slowness, such as a full disk
-    // behind all of them, would take out one after the other and turn slow answers into none.
+    // At least two members of the group are never ejected, however slow they are. Otherwise a common cause, such as a full disk
+    // shared by all of them, would eject one after another and turn slow answers into none.
     const auto staying = this->members.size() - this->ejected.size();
     if (wanted && !this->isPrimary(upstream) && !upstream.ejection.ejected(now) && staying > 2) {
         upstream.ejection.eject(now);
--- a/lib/Decisions/loaddispatcher.cpp
+++ b/lib/Decisions/loaddispatcher.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// Reasons that say that a service cannot do its work now; the others are the caller's own.
+/// \return whether \p reason means that the service cannot serve its work now; other reasons lie with the caller
 auto isOverload(RefusalReason reason) -> bool
 {
     switch (reason) {
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is kept for one service.
+/// Overload detection and retry budget of one service.
 struct ServiceState
 {
     ServiceState(const DispatcherSettings &settings, double retryRatio)
@@ -43,7 +43,7 @@
     RetryBudget budget;
 };
 
-/// One scheduler for each database group, and what crosses services.
+/// Delegates to one scheduler per database group, and applies the checks across services: dependencies and retry budgets.
 class LoadDispatcher : public Dispatcher
 {
 public:
@@ -60,7 +60,7 @@
     [[nodiscard]] auto demand(const UpstreamId &upstream) const -> SlotDemand override;
 
 private:
-    /// Turns a scheduler's decisions into actions and counts them for their services.
+    /// Converts a scheduler's decisions to actions and counts them per service.
     class Sink : public DecisionSink
     {
     public:
@@ -83,9 +83,9 @@
     std::shared_ptr<const membership::ClusterView> view = std::make_shared<const membership::ClusterView>();
     std::unordered_map<GroupId, std::unique_ptr<GroupScheduler>> groups;
     std::unordered_map<ServiceId, ServiceState> services;
-    /// Group of each piece of work between its start and its end, or while it waits.
+    /// Scheduler of each piece of work that is waiting or running.
     std::unordered_map<WorkId, GroupScheduler *> owners;
-    /// Latest time seen; nextTick() has none of its own.
+    /// Latest time passed by any event; nextTick() has no time parameter.
     TimePoint latest{};
 };
 
@@ -110,7 +110,7 @@
     }
     auto rounded = std::optional<std::chrono::milliseconds>();
     if (retryAfter) {
-        // Up: a caller that came a part of a millisecond early would find its place not yet due.
+        // Rounds up: a caller that retried a fraction of a millisecond early would find its retry reservation not yet due.
         rounded = std::chrono::ceil<std::chrono::milliseconds>(*retryAfter);
     }
     this->actions.emplace_back(Refuse{work.id, reason, rounded});
@@ -176,11 +176,11 @@
 {
     auto sink = Sink(*this, now);
     const auto owner = this->owners.find(id);
-    assert(owner != this->owners.end() && "only started work ends");
+    assert(owner != this->owners.end() && "the work is waiting or running");
     auto *const group = owner->second;
     this->owners.erase(owner);
     const auto known = group->finished(id, outcome, now, sink);
-    assert(known && "only started work ends");
+    assert(known && "only started work can end");
     static_cast<void>(known);
     return std::move(sink.actions);
 }
@@ -189,7 +189,7 @@
 {
     auto sink = Sink(*this, now);
     const auto owner = this->owners.find(id);
-    // Work that was refused or started in the meantime has nothing to forget.
+    // Work that was refused or started in the meantime is no longer waiting.
     if (owner != this->owners.end() && owner->second->cancel(id, now, sink)) {
         this->owners.erase(id);
     }
@@ -208,7 +208,7 @@
 
 auto LoadDispatcher::viewChanged(std::shared_ptr<const membership::ClusterView> view, TimePoint now) -> Actions
 {
-    assert(view != nullptr && "a view");
+    assert(view != nullptr && "the view is set");
     auto sink = Sink(*this, now);
     this->view = std::move(view);
     for (const auto &service : this->view->services) {
@@ -226,7 +226,7 @@
     }
     for (const auto &[id, scheduler] : this->groups) {
         if (this->view->findGroup(id) == nullptr) {
-            // The scheduler stays until its running work ends; without members it starts nothing.
+            // The scheduler is kept for its running work; without members it starts none.
             scheduler->groupChanged(membership::GroupView{.id = id}, proxies, now, sink);
         }
     }
--- a/lib/Decisions/slotguard.cpp
+++ b/lib/Decisions/slotguard.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-/// A kind of work that was not seen for so long needs no slot kept for it.
+/// Time without activity after which no slot is reserved for a kind of work.
 constexpr auto remembered = std::chrono::seconds(1);
-/// Use fades by half in this time; long enough that a burst of a few statements is not hot.
+/// Half-life of recorded usage; long enough that a burst of a few statements does not make a caller hot.
 constexpr auto usedHalfLife = std::chrono::seconds(2);
 constexpr std::uint32_t highestUseLevel = 8;
-/// Callers whose lengths are kept; beyond it all are forgotten and learned anew, which costs each one long statement.
+/// Maximum number of caller records. Beyond it all are discarded and learned anew, which costs each caller one long statement.
 constexpr std::size_t callersKept = 16'384;
 
 } // namespace
@@ -97,7 +97,7 @@
     if (!this->settings.enabled) {
         return true;
     }
-    // Fair order alone lets a hot caller fill each slot that comes free, and the others wait for a slot more often.
+    // With fair order alone a hot caller fills each slot that becomes available, and the others wait for a slot more often.
     if (usable >= 2 && running + 1 >= usable && this->isHot(work.caller, now)) {
         return false;
     }
@@ -140,7 +140,7 @@
 {
     auto &use = this->upstreams[upstream];
     auto &serviceCount = use.byService[work.service];
-    assert(serviceCount > 0 && "work that ends was started");
+    assert(serviceCount > 0 && "the work was started");
     --serviceCount;
     if (serviceCount == 0) {
         use.byService.erase(work.service);
@@ -150,7 +150,7 @@
     }
     if (!work.key.empty() && work.access == Access::Write) {
         const auto key = this->keys.find(work.key);
-        assert(key != this->keys.end() && "a key that was counted");
+        assert(key != this->keys.end() && "the key was counted");
         --key->second;
         if (key->second == 0) {
             this->keys.erase(key);
@@ -165,7 +165,7 @@
     this->usedByAll = faded(this->usedByAll, this->usedByAllAt, now) + seconds;
     this->usedByAllAt = now;
     this->countActive(work.caller, now);
-    // The reference is the short work's time; with the long work in it, nothing would be long beside the mean.
+    // The reference is the service time of short work; if it included long work, no work would be long relative to the mean.
     if (!this->isLong(work.caller)) {
         this->shortService.record(took);
         this->shortSeen = now;
--- a/lib/Decisions/upstreamstate.cpp
+++ b/lib/Decisions/upstreamstate.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/// Answers after which the next ejection starts from the first time again.
+/// Consecutive normal answers after which the ejection backoff is reset.
 constexpr std::uint32_t goodAnswersToForgive = 100;
 constexpr std::uint32_t longestDoubling = 16;
 
--- a/unittests/Decisions/dispatchertest.cpp
+++ b/unittests/Decisions/dispatchertest.cpp
@@ -17,7 +17,7 @@
     CHECK(std::get<Start>(actions.front()).id == WorkId(3));
 }
 
-TEST_CASE("a read that accepts age goes to a replica that is fresh enough")
+TEST_CASE("a read that accepts stale data goes to a replica that is fresh enough")
 {
     auto fixture = Fixture();
     fixture.report("r1", 10);
@@ -28,10 +28,10 @@
     CHECK(startedOn(fixture.tolerant(milliseconds(500))) == "p");
 }
 
-TEST_CASE("a position past the end of an older term is not waited for")
+TEST_CASE("a read does not wait for a position past the end of an older term")
 {
-    // The session saw position 30 of term 1. The promotion to term 2 kept entries up to 25; 26 to 30 were never acknowledged.
-    // A replica at (2, 27) holds all that stands, although 27 is below 30.
+    // The session observed position 30 of term 1. The promotion to term 2 kept entries up to 25; 26 to 30 were never
+    // acknowledged. A replica at (2, 27) holds all valid entries, although 27 is below 30.
     auto fixture = Fixture();
     fixture.cluster.groups.front().term = Term(2);
     fixture.cluster.groups.front().history = {{Term(1), LogPosition(0)}, {Term(2), LogPosition(25)}};
@@ -40,9 +40,9 @@
     CHECK(startedOn(fixture.tolerant(milliseconds(500), NeededPosition{Term(1), LogPosition(30)})) == "r1");
 }
 
-TEST_CASE("a replica of an older term does not serve a session that saw the newer one")
+TEST_CASE("a replica of an older term does not serve a session that has observed a newer term")
 {
-    // The replica still follows the old primary and reports a high position of term 1, entries that the promotion dropped.
+    // The replica still follows the old primary and reports a high position of term 1, entries that the promotion discarded.
     // A session that wrote at (2, 26) would not see its write there.
     auto fixture = Fixture();
     fixture.cluster.groups.front().term = Term(2);
@@ -52,10 +52,10 @@
     CHECK(startedOn(fixture.tolerant(milliseconds(500), NeededPosition{Term(2), LogPosition(26)})) == "p");
 }
 
-TEST_CASE("a replica with entries that a promotion dropped is not read")
+TEST_CASE("a replica that holds entries discarded by a promotion serves no reads")
 {
-    // The replica was cut off with the old primary and holds entries 26 and 27 of term 1, which nobody acknowledged. The caller
-    // would read a booking there that no other member has, and miss it in the next read.
+    // The replica was partitioned together with the old primary and holds entries 26 and 27 of term 1, which were never
+    // acknowledged. The caller would read a booking there that no other member has, and miss it in the next read.
     auto fixture = Fixture();
     fixture.cluster.groups.front().term = Term(2);
     fixture.cluster.groups.front().history = {{Term(1), LogPosition(0)}, {Term(2), LogPosition(25)}};
@@ -66,7 +66,7 @@
     CHECK(startedOn(fixture.tolerant(milliseconds(500))) == "r2");
 }
 
-TEST_CASE("a late report does not make a replica look older than it was seen to be")
+TEST_CASE("a late report does not move the known position of a replica back")
 {
     auto fixture = Fixture();
     fixture.report("r1", 20);
@@ -74,7 +74,7 @@
     CHECK(startedOn(fixture.tolerant(milliseconds(500), NeededPosition{Term(1), LogPosition(15)})) == "r1");
 }
 
-TEST_CASE("a leaving upstream gets no new work from the moment the view says so")
+TEST_CASE("an upstream that the view marks as leaving gets no new work")
 {
     auto fixture = Fixture();
     fixture.report("r1", 10);
@@ -85,8 +85,8 @@
 
 TEST_CASE("work that runs while its upstream leaves the view and returns still holds its slot")
 {
-    // The primary's announcements are missed for a moment while a booking runs there. The view drops it and takes it back; the
-    // booking then ends. A second piece of work must not get the slot before.
+    // Health reports of the primary are lost for a short time while a booking runs there. The view removes the primary and adds
+    // it again; then the booking ends. Other work must not get its slot before that.
     auto fixture = Fixture({}, 1);
     const auto whole = fixture.cluster;
     CHECK(startedOn(fixture.write()) == "p");
@@ -122,7 +122,7 @@
     CHECK(fixture.finish(1).empty());
 }
 
-TEST_CASE("a session that saw a later term than the view is not sent to what may be the old primary")
+TEST_CASE("a session that has observed a later term than the view's is not sent to what may be the old primary")
 {
     auto fixture = Fixture();
     auto read = fixture.work(Access::Read, "c", milliseconds(100));
