--- a/include/sapphirespool/Decisions/brownout.h
+++ b/include/sapphirespool/Decisions/brownout.h
@@ -36,9 +36,9 @@
 
 private:
     BrownoutSettings settings;
-    std::uint32_t present = 0;
-    TimePoint changedAt{};
-    std::optional<TimePoint> calmSince;
+    std::uint32_t currentLevel = 0;
+    TimePoint levelChangedAt{};
+    std::optional<TimePoint> belowLeaveDelaySince;
 };
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/dependencyguard.h
+++ b/include/sapphirespool/Decisions/dependencyguard.h
@@ -33,14 +33,14 @@
     [[nodiscard]] auto retryAfter() const -> Duration;
 
 private:
-    auto roll(TimePoint now) -> void;
+    auto rollWindow(TimePoint now) -> void;
 
     DependencySettings settings;
     TimePoint windowStart{};
     std::uint32_t admitted = 0;
     std::uint32_t refused = 0;
-    std::uint32_t passed = 0;
-    bool lastRefusing = false;
+    std::uint32_t requestsWhileRefusing = 0;
+    bool refusedLastWindow = false;
     Duration lastRetryAfter{};
 };
 
--- a/include/sapphirespool/Decisions/fairqueue.h
+++ b/include/sapphirespool/Decisions/fairqueue.h
@@ -60,7 +60,7 @@
     [[nodiscard]] auto size() const -> std::size_t;
 
     /// \return the estimated number of entries, each of cost \p cost, that are served before a new entry of \p caller
-    [[nodiscard]] auto ahead(const CallerId &caller, Duration cost, TimePoint now) const -> std::size_t;
+    [[nodiscard]] auto entriesAhead(const CallerId &caller, Duration cost, TimePoint now) const -> std::size_t;
 
     /// \return the number of entries of \p caller
     [[nodiscard]] auto sizeOf(const CallerId &caller) const -> std::size_t;
@@ -87,7 +87,7 @@
     using FlowId = CallerId;
     using Order = std::set<std::pair<double, FlowId>>;
 
-    [[nodiscard]] auto aheadByLevel(const CallerId &caller, TimePoint now) const -> std::size_t;
+    [[nodiscard]] auto entriesAheadByLevel(const CallerId &caller, TimePoint now) const -> std::size_t;
     [[nodiscard]] auto usesLevels() const -> bool;
     [[nodiscard]] auto flowOf(const CallerId &caller, TimePoint now) const -> FlowId;
     [[nodiscard]] auto levelOf(const CallerId &caller, TimePoint now) const -> std::uint32_t;
@@ -95,8 +95,8 @@
     auto activate(const FlowId &id, Flow &flow) -> void;
     auto advance(const FlowId &id, Flow &flow, double amount) -> void;
     auto removeAt(const FlowId &id, Flow &flow, std::size_t index) -> QueueEntry;
-    auto demote(const FlowId &id, Flow &flow, TimePoint now) -> bool;
-    auto forgetIdle(TimePoint now) -> void;
+    auto requeueAtCurrentLevel(const FlowId &id, Flow &flow, TimePoint now) -> bool;
+    auto removeIdle(TimePoint now) -> void;
     auto countEntry(const CallerId &caller) -> void;
     auto uncountEntry(const CallerId &caller) -> void;
 
@@ -107,7 +107,7 @@
     /// Flows with entries, by virtual time.
     Order order;
     /// Callers with entries, by number of entries.
-    std::set<std::pair<std::size_t, CallerId>> lengths;
+    std::set<std::pair<std::size_t, CallerId>> callersByEntries;
     double virtualNow = 0;
     std::size_t count = 0;
     std::size_t pushesSinceSweep = 0;
--- a/include/sapphirespool/Decisions/forwardrouter.h
+++ b/include/sapphirespool/Decisions/forwardrouter.h
@@ -32,17 +32,17 @@
     auto ended(const UpstreamId &upstream, Duration latency, TimePoint now) -> void;
 
 private:
-    struct Record
+    struct LatencyRecord
     {
-        std::uint32_t underWay = 0;
+        std::uint32_t inFlight = 0;
         double latency = 0;
-        TimePoint at{};
+        TimePoint updatedAt{};
     };
 
     [[nodiscard]] auto latency(const UpstreamId &upstream, TimePoint now) const -> double;
     [[nodiscard]] auto cost(const UpstreamId &upstream, TimePoint now) const -> double;
 
-    std::unordered_map<UpstreamId, Record> records;
+    std::unordered_map<UpstreamId, LatencyRecord> records;
 };
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/freshness.h
+++ b/include/sapphirespool/Decisions/freshness.h
@@ -15,11 +15,11 @@
 [[nodiscard]] auto covers(const membership::GroupView &group, Term term, LogPosition applied, const NeededPosition &needed) -> bool;
 
 /// \return the highest position up to \p needed that is still valid in \p group
-[[nodiscard]] auto standingPosition(const membership::GroupView &group, const NeededPosition &needed) -> LogPosition;
+[[nodiscard]] auto validPosition(const membership::GroupView &group, const NeededPosition &needed) -> LogPosition;
 
 /// Detects a member whose log diverged: while it still follows an earlier primary, it may hold entries that the promotion discarded.
 /// A session that read them would no longer find them in its next read from another member.
 /// \return whether data at (\p term, \p applied) includes entries that later terms discarded
-[[nodiscard]] auto holdsVoidEntries(const membership::GroupView &group, Term term, LogPosition applied) -> bool;
+[[nodiscard]] auto holdsDiscardedEntries(const membership::GroupView &group, Term term, LogPosition applied) -> bool;
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/groupscheduler.h
+++ b/include/sapphirespool/Decisions/groupscheduler.h
@@ -81,9 +81,9 @@
         Lane lane = Lane::Write;
         TimePoint since;
         TimePoint latestStart;
-        TimePoint patienceEnd;
+        TimePoint primaryAllowedAt;
         /// Whether the work waits outside its lane's queue until the running write on the same key ends.
-        bool parked = false;
+        bool waitsForKey = false;
     };
     struct Running
     {
@@ -102,10 +102,10 @@
     using Timers = std::set<std::pair<TimePoint, WorkId>>;
 
     // Placement: groupplacing.cpp
-    auto pump(TimePoint now, DecisionSink &sink) -> void;
-    auto fill(UpstreamState &upstream, TimePoint now, DecisionSink &sink) -> bool;
-    auto takeFor(UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>;
-    auto takeFromLane(Lane lane, UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>;
+    auto dispatchWaiting(TimePoint now, DecisionSink &sink) -> void;
+    auto startNextOn(UpstreamState &upstream, TimePoint now, DecisionSink &sink) -> bool;
+    auto popFor(UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>;
+    auto popFromLane(Lane lane, UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>;
     auto laneOrder() const -> std::vector<Lane>;
     auto startOn(UpstreamState &upstream, WorkId id, TimePoint now, DecisionSink &sink) -> void;
     [[nodiscard]] auto mayRun(const Waiting &waiting, const UpstreamState &upstream, TimePoint now) const -> bool;
@@ -114,17 +114,17 @@
     [[nodiscard]] auto anyReplicaServes(const Work &work, TimePoint now) const -> bool;
     [[nodiscard]] auto isPrimary(const UpstreamState &upstream) const -> bool;
     [[nodiscard]] auto expectedLatency(const UpstreamState &upstream) const -> double;
-    auto watchBrownout(TimePoint now) -> void;
+    auto updateBrownout(TimePoint now) -> void;
 
     // Admission: groupadmission.cpp
     [[nodiscard]] auto estimate(const Work &work, Lane lane, TimePoint now) const -> Estimate;
-    [[nodiscard]] auto primaryAhead(const CallerId &caller, Lane lane, TimePoint now) const -> std::size_t;
+    [[nodiscard]] auto entriesAheadOnPrimary(const CallerId &caller, Lane lane, TimePoint now) const -> std::size_t;
     [[nodiscard]] auto admit(const Work &work, Lane lane, const Estimate &estimate, TimePoint now) -> bool;
-    [[nodiscard]] auto leftForTolerant() const -> double;
-    [[nodiscard]] auto overPart(const Work &work, Lane lane, const Estimate &estimate, Duration budget) const -> bool;
-    [[nodiscard]] auto givesWay(const Work &work, TimePoint now) -> bool;
-    [[nodiscard]] auto readSlots(const Work &work, TimePoint now) const -> std::uint32_t;
-    [[nodiscard]] auto roomFor(const Work &work, Lane lane, std::uint32_t queueLimit) const -> std::optional<RefusalReason>;
+    [[nodiscard]] auto tolerantFractionOnPrimary() const -> double;
+    [[nodiscard]] auto exceedsCallerShare(const Work &work, Lane lane, const Estimate &estimate, Duration budget) const -> bool;
+    [[nodiscard]] auto shedByBrownout(const Work &work, TimePoint now) -> bool;
+    [[nodiscard]] auto usableReplicaSlots(const Work &work, TimePoint now) const -> std::uint32_t;
+    [[nodiscard]] auto queueLimitRefusal(const Work &work, Lane lane, std::uint32_t queueLimit) const -> std::optional<RefusalReason>;
     auto retryAfter(const Work &work, Lane lane, TimePoint now) -> std::optional<Duration>;
     auto refuse(const Work &work, Lane lane, RefusalReason reason, TimePoint now, DecisionSink &sink) -> void;
     auto refuseWaiting(WorkId id, RefusalReason reason, TimePoint now, DecisionSink &sink) -> void;
@@ -133,13 +133,13 @@
 
     // Bookkeeping: groupscheduler.cpp
     auto enqueue(Work work, Lane lane, TimePoint now) -> void;
-    auto forget(WorkId id) -> Waiting;
+    auto removeWaiting(WorkId id) -> Waiting;
     auto releaseKey(const std::string &key, TimePoint now) -> void;
     auto findUpstream(const UpstreamId &upstream) -> UpstreamState *;
     [[nodiscard]] auto runningOn(const UpstreamId &upstream) const -> std::uint32_t;
     auto setDefaultShare(UpstreamState &upstream) const -> void;
-    auto judge(UpstreamState &upstream, WorkOutcome outcome, Duration took, TimePoint now) -> void;
-    [[nodiscard]] auto peerMean(const UpstreamState &upstream) const -> Duration;
+    auto updateUpstreamHealth(UpstreamState &upstream, WorkOutcome outcome, Duration took, TimePoint now) -> void;
+    [[nodiscard]] auto medianPeerTime(const UpstreamState &upstream) const -> Duration;
     auto endEjections(TimePoint now) -> void;
     [[nodiscard]] auto queue(Lane lane) -> FairQueue &;
     [[nodiscard]] auto queue(Lane lane) const -> const FairQueue &;
@@ -151,22 +151,22 @@
     /// Declared before the queues, which refer to it for caller levels.
     SlotGuard guard;
     std::array<FairQueue, laneCount> queues;
-    std::array<double, laneCount> laneTimes{};
+    std::array<double, laneCount> laneVirtualTimes{};
     std::array<ServiceEstimate, laneCount> slotTimes;
     std::unordered_map<WorkId, Waiting> waiting;
     std::unordered_map<WorkId, Running> running;
     std::unordered_map<ServiceId, std::uint32_t> waitingByService;
-    std::unordered_map<std::string, std::deque<WorkId>> parked;
+    std::unordered_map<std::string, std::deque<WorkId>> waitersByKey;
     Timers expiries;
-    Timers patience;
+    Timers primaryAllowedTimers;
     std::set<UpstreamId> ejected;
     Brownout brownout;
-    std::array<ReturnBook, laneCount> returns;
+    std::array<ReturnBook, laneCount> retryReservations;
     std::optional<TimePoint> primaryLostAt;
     /// Fraction of the primary's recent starts that only it could serve: writes and current reads.
-    double primaryOwnPart = 0;
-    std::size_t turn = 0;
-    std::uint64_t browned = 0;
+    double primaryOnlyFraction = 0;
+    std::size_t roundRobinOffset = 0;
+    std::uint64_t brownoutReads = 0;
 };
 
 /// \return the lane of \p work
--- a/include/sapphirespool/Decisions/slotguard.h
+++ b/include/sapphirespool/Decisions/slotguard.h
@@ -24,10 +24,10 @@
 public:
     explicit SlotGuard(BulkheadSettings settings);
 
-    /// \param usable slots of \p upstream that may be used now
+    /// \param usableSlots slots of \p upstream that may be used now
     /// \param running slots of \p upstream in use
     /// \return whether \p work may take a slot of \p upstream
-    [[nodiscard]] auto admits(const Work &work, const UpstreamId &upstream, std::uint32_t usable, std::uint32_t running, TimePoint now) const -> bool;
+    [[nodiscard]] auto admits(const Work &work, const UpstreamId &upstream, std::uint32_t usableSlots, std::uint32_t running, TimePoint now) const -> bool;
 
     auto started(const Work &work, const UpstreamId &upstream, TimePoint now) -> void;
     auto ended(const Work &work, const UpstreamId &upstream, Duration took, TimePoint now) -> void;
@@ -58,26 +58,26 @@
         TimePoint usedAt{};
     };
 
-    [[nodiscard]] static auto faded(double used, TimePoint usedAt, TimePoint now) -> double;
+    [[nodiscard]] static auto decayed(double used, TimePoint usedAt, TimePoint now) -> double;
     auto countActive(const CallerId &caller, TimePoint now) -> void;
     [[nodiscard]] auto otherServicesActive(const ServiceId &service, TimePoint now) const -> std::uint32_t;
-    auto forgetCallers() -> void;
+    auto limitCallerRecords() -> void;
 
     BulkheadSettings settings;
     ServiceEstimate shortService;
-    std::optional<TimePoint> shortSeen;
+    std::optional<TimePoint> shortLastSeen;
     std::unordered_map<CallerId, CallerRecord> callers;
-    double usedByAll = 0;
-    TimePoint usedByAllAt{};
+    double totalUsed = 0;
+    TimePoint totalUsedAt{};
     /// Callers whose work ended in the current and in the previous window of one second.
-    std::unordered_set<CallerId> activeNow;
-    std::unordered_set<CallerId> activeBefore;
-    TimePoint activeSince{};
+    std::unordered_set<CallerId> activeCallers;
+    std::unordered_set<CallerId> previouslyActiveCallers;
+    TimePoint activeWindowStart{};
     std::unordered_map<UpstreamId, UpstreamUse> upstreams;
-    std::unordered_map<ServiceId, TimePoint> serviceSeen;
+    std::unordered_map<ServiceId, TimePoint> serviceLastSeen;
     std::unordered_map<std::string, std::uint32_t> keys;
     /// Running work whose caller was classified as long when it started.
-    std::unordered_set<WorkId> longWork;
+    std::unordered_set<WorkId> longRunningWork;
 };
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/upstreamstate.h
+++ b/include/sapphirespool/Decisions/upstreamstate.h
@@ -20,22 +20,22 @@
 public:
     explicit Ejection(EjectionSettings settings);
 
-    /// Records the outcome of work. \param peerMean median of the other members' mean service times; zero if unknown
+    /// Records the outcome of work. \param medianPeerTime median of the other members' mean service times; zero if unknown
     /// \return whether the upstream should be ejected now; the caller checks the minimum number of remaining members and calls eject()
-    auto record(WorkOutcome outcome, const ServiceEstimate &own, Duration peerMean) -> bool;
+    auto record(WorkOutcome outcome, const ServiceEstimate &own, Duration medianPeerTime) -> bool;
 
     auto eject(TimePoint now) -> void;
 
     [[nodiscard]] auto ejected(TimePoint now) const -> bool;
 
     /// \return when the ejection ends, if the upstream is ejected
-    [[nodiscard]] auto returnsAt(TimePoint now) const -> std::optional<TimePoint>;
+    [[nodiscard]] auto ejectionEnd(TimePoint now) const -> std::optional<TimePoint>;
 
 private:
     EjectionSettings settings;
     std::uint32_t failuresInRow = 0;
     std::uint32_t ejections = 0;
-    std::uint32_t goodSince = 0;
+    std::uint32_t successesInRow = 0;
     std::optional<TimePoint> until;
 };
 
@@ -58,7 +58,7 @@
 private:
     ConcurrencySettings settings;
     /// Current limit; while unset, the whole share may be used.
-    std::optional<double> bound;
+    std::optional<double> currentLimit;
 };
 
 /// Raises the usable slots linearly after a promotion, a restart or an ejection.
@@ -90,7 +90,7 @@
     membership::UpstreamView view;
     Share share;
     /// Whether the share allocator assigned the share; otherwise it is the static default.
-    bool granted = false;
+    bool allocatorAssigned = false;
     std::uint32_t running = 0;
     std::optional<Observation> observation;
     TimePoint observedAt{};
@@ -100,9 +100,9 @@
     SlowStart slowStart;
 
     /// \return slots that may be used now
-    [[nodiscard]] auto usable(TimePoint now) const -> std::uint32_t;
+    [[nodiscard]] auto usableSlots(TimePoint now) const -> std::uint32_t;
 
-    [[nodiscard]] auto hasFree(TimePoint now) const -> bool;
+    [[nodiscard]] auto hasFreeSlot(TimePoint now) const -> bool;
 
     /// \return the upper bound of its replication lag at \p now, or nothing before the first observation
     [[nodiscard]] auto age(TimePoint now) const -> std::optional<Duration>;
--- a/lib/Decisions/brownout.cpp
+++ b/lib/Decisions/brownout.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-constexpr auto agesByLevel = std::to_array<std::chrono::milliseconds>({
+constexpr auto shedAgeByLevel = std::to_array<std::chrono::milliseconds>({
     std::chrono::milliseconds(10'000),
     std::chrono::milliseconds(1'000),
     std::chrono::milliseconds(1),
 });
-static_assert(agesByLevel.size() == Brownout::highestLevel);
+static_assert(shedAgeByLevel.size() == Brownout::highestLevel);
 
 } // namespace
 
@@ -28,36 +28,36 @@
         return;
     }
     if (wait >= this->settings.enterDelay) {
-        this->calmSince.reset();
-        const auto mayStep = this->present == 0 || now - this->changedAt >= this->settings.enterStep;
-        if (mayStep && this->present < highestLevel) {
-            ++this->present;
-            this->changedAt = now;
+        this->belowLeaveDelaySince.reset();
+        const auto mayStep = this->currentLevel == 0 || now - this->levelChangedAt >= this->settings.enterStep;
+        if (mayStep && this->currentLevel < highestLevel) {
+            ++this->currentLevel;
+            this->levelChangedAt = now;
         }
         return;
     }
     if (wait > this->settings.leaveDelay) {
-        this->calmSince.reset();
+        this->belowLeaveDelaySince.reset();
         return;
     }
-    if (!this->calmSince) {
-        this->calmSince = now;
+    if (!this->belowLeaveDelaySince) {
+        this->belowLeaveDelaySince = now;
     }
-    if (this->present > 0 && now - *this->calmSince >= this->settings.leaveStep) {
-        --this->present;
-        this->changedAt = now;
-        this->calmSince = now;
+    if (this->currentLevel > 0 && now - *this->belowLeaveDelaySince >= this->settings.leaveStep) {
+        --this->currentLevel;
+        this->levelChangedAt = now;
+        this->belowLeaveDelaySince = now;
     }
 }
 
 auto Brownout::level() const -> std::uint32_t
 {
-    return this->present;
+    return this->currentLevel;
 }
 
 auto Brownout::admits(std::chrono::milliseconds maxAge) const -> bool
 {
-    return this->present == 0 || maxAge < agesByLevel[this->present - 1];
+    return this->currentLevel == 0 || maxAge < shedAgeByLevel[this->currentLevel - 1];
 }
 
 } // namespace sapphirespool::decisions
--- a/lib/Decisions/dependencyguard.cpp
+++ b/lib/Decisions/dependencyguard.cpp
@@ -8,15 +8,15 @@
 {
 }
 
-auto DependencyGuard::roll(TimePoint now) -> void
+auto DependencyGuard::rollWindow(TimePoint now) -> void
 {
-    const auto passedTime = now - this->windowStart;
-    if (passedTime < this->settings.window) {
+    const auto elapsed = now - this->windowStart;
+    if (elapsed < this->settings.window) {
         return;
     }
     const auto total = this->admitted + this->refused;
-    const auto judged = total >= this->settings.minimumRequests && passedTime < 2 * this->settings.window;
-    this->lastRefusing = judged && this->refused >= this->settings.refusedFraction * total;
+    const auto hasEnoughRequests = total >= this->settings.minimumRequests && elapsed < 2 * this->settings.window;
+    this->refusedLastWindow = hasEnoughRequests && this->refused >= this->settings.refusedFraction * total;
     this->windowStart = now;
     this->admitted = 0;
     this->refused = 0;
@@ -24,27 +24,27 @@
 
 auto DependencyGuard::recordAdmitted(TimePoint now) -> void
 {
-    this->roll(now);
+    this->rollWindow(now);
     ++this->admitted;
 }
 
 auto DependencyGuard::recordRefused(TimePoint now, Duration retryAfter) -> void
 {
-    this->roll(now);
+    this->rollWindow(now);
     ++this->refused;
     this->lastRetryAfter = retryAfter;
 }
 
 auto DependencyGuard::refusing(TimePoint now) -> bool
 {
-    this->roll(now);
-    return this->settings.enabled && this->lastRefusing;
+    this->rollWindow(now);
+    return this->settings.enabled && this->refusedLastWindow;
 }
 
 auto DependencyGuard::probe() -> bool
 {
-    ++this->passed;
-    return this->passed % this->settings.probeEvery == 0;
+    ++this->requestsWhileRefusing;
+    return this->requestsWhileRefusing % this->settings.probeEvery == 0;
 }
 
 auto DependencyGuard::retryAfter() const -> Duration
--- a/lib/Decisions/fairqueue.cpp
+++ b/lib/Decisions/fairqueue.cpp
@@ -15,11 +15,11 @@
 /// Pushes between two sweeps of idle flows, in addition to one per flow; the amortized cost of a sweep per push is constant.
 constexpr std::size_t sweepInterval = 4096;
 /// Upper bound of the work served before a new entry, as a multiple of the waiting work.
-constexpr std::size_t latecomerFactor = 2;
+constexpr std::size_t laterArrivalFactor = 2;
 /// Slowdown of a caller above the mean: while the others use three quarters of the capacity, a quarter remains for it.
-constexpr std::size_t leftoverFactor = 4;
+constexpr std::size_t aboveMeanSlowdown = 4;
 /// Attained service, in seconds, below which the record of a caller without entries is removed.
-constexpr double forgottenService = 0.001;
+constexpr double minRetainedService = 0.001;
 
 auto seconds(Duration duration) -> double
 {
@@ -98,25 +98,25 @@
 auto FairQueue::countEntry(const CallerId &caller) -> void
 {
     auto &entries = this->callers[caller].entries;
-    this->lengths.erase({entries, caller});
+    this->callersByEntries.erase({entries, caller});
     ++entries;
-    this->lengths.emplace(entries, caller);
+    this->callersByEntries.emplace(entries, caller);
 }
 
 auto FairQueue::uncountEntry(const CallerId &caller) -> void
 {
     auto &entries = this->callers[caller].entries;
     assert(entries > 0 && "the caller has a counted entry");
-    this->lengths.erase({entries, caller});
+    this->callersByEntries.erase({entries, caller});
     --entries;
     if (entries > 0) {
-        this->lengths.emplace(entries, caller);
+        this->callersByEntries.emplace(entries, caller);
     }
 }
 
 auto FairQueue::push(const QueueEntry &entry, TimePoint now) -> void
 {
-    this->forgetIdle(now);
+    this->removeIdle(now);
     const auto id = this->flowOf(entry.caller, now);
     auto &flow = this->flows[id];
     if (this->usesLevels()) {
@@ -142,12 +142,12 @@
     return entry;
 }
 
-auto FairQueue::demote(const FlowId &id, Flow &flow, TimePoint now) -> bool
+auto FairQueue::requeueAtCurrentLevel(const FlowId &id, Flow &flow, TimePoint now) -> bool
 {
     // A burst is queued before its first statement has ended and its cost is known; without this step the whole burst would
     // stay in the first level.
-    const auto present = this->flowOf(flow.entries.front().caller, now);
-    if (present == id) {
+    const auto currentFlow = this->flowOf(flow.entries.front().caller, now);
+    if (currentFlow == id) {
         return false;
     }
     const auto entry = this->removeAt(id, flow, 0);
@@ -160,17 +160,17 @@
     if (this->usesLevels()) {
         for (auto step = std::size_t{0}; step < scanLimit && !this->order.empty(); ++step) {
             const auto id = this->order.begin()->second;
-            if (!this->demote(id, this->flows.at(id), now)) {
+            if (!this->requeueAtCurrentLevel(id, this->flows.at(id), now)) {
                 break;
             }
         }
     }
     const auto perFlow = this->settings.discipline == QueueDiscipline::FairQueueing ? std::size_t{1} : scanLimit;
-    auto looked = std::size_t{0};
+    auto scanned = std::size_t{0};
     for (const auto &[virtualTime, id] : this->order) {
         auto &flow = this->flows.at(id);
         const auto last = std::min(flow.entries.size(), perFlow);
-        for (auto index = std::size_t{0}; index < last && looked < scanLimit; ++index, ++looked) {
+        for (auto index = std::size_t{0}; index < last && scanned < scanLimit; ++index, ++scanned) {
             if (!eligible(flow.entries[index].id)) {
                 continue;
             }
@@ -180,7 +180,7 @@
             this->advance(flowId, flow, seconds(expectedCost));
             return entry;
         }
-        if (looked >= scanLimit) {
+        if (scanned >= scanLimit) {
             break;
         }
     }
@@ -250,7 +250,7 @@
     return found == this->callers.end() ? 0 : found->second.entries;
 }
 
-auto FairQueue::aheadByLevel(const CallerId &caller, TimePoint now) const -> std::size_t
+auto FairQueue::entriesAheadByLevel(const CallerId &caller, TimePoint now) const -> std::size_t
 {
     const auto own = this->levelOf(caller, now);
     auto higher = std::size_t{0};
@@ -262,16 +262,16 @@
         same += level == own ? entries : 0;
     }
     if (own > 0) {
-        return latecomerFactor * higher + leftoverFactor * same;
+        return laterArrivalFactor * higher + aboveMeanSlowdown * same;
     }
     const auto lower = this->count - higher - same;
     return same + std::min(lower, same / this->settings.thresholdFactor);
 }
 
-auto FairQueue::ahead(const CallerId &caller, Duration cost, TimePoint now) const -> std::size_t
+auto FairQueue::entriesAhead(const CallerId &caller, Duration cost, TimePoint now) const -> std::size_t
 {
     if (this->settings.discipline == QueueDiscipline::RelativeAttained) {
-        return this->aheadByLevel(caller, now);
+        return this->entriesAheadByLevel(caller, now);
     }
     if (this->settings.discipline != QueueDiscipline::FairQueueing) {
         return this->count;
@@ -283,15 +283,15 @@
     const auto rounds = 1.0 + static_cast<double>(own) + debt / seconds(cost);
     const auto served = static_cast<double>(own) + static_cast<double>(others) * rounds;
     // Later arrivals of callers with fewer entries are also served first; their number is assumed not to exceed the waiting entries.
-    return std::min(latecomerFactor * this->count, static_cast<std::size_t>(served));
+    return std::min(laterArrivalFactor * this->count, static_cast<std::size_t>(served));
 }
 
 auto FairQueue::activeCallers() const -> std::size_t
 {
-    return this->lengths.size();
+    return this->callersByEntries.size();
 }
 
-auto FairQueue::forgetIdle(TimePoint now) -> void
+auto FairQueue::removeIdle(TimePoint now) -> void
 {
     ++this->pushesSinceSweep;
     if (this->pushesSinceSweep < sweepInterval + this->flows.size()) {
@@ -302,7 +302,7 @@
         return item.second.entries.empty() && item.second.virtualTime <= this->virtualNow;
     });
     std::erase_if(this->callers, [this, now](const auto &item) {
-        return item.second.entries == 0 && this->attained(item.second, now) < forgottenService;
+        return item.second.entries == 0 && this->attained(item.second, now) < minRetainedService;
     });
 }
 
--- a/lib/Decisions/forwardrouter.cpp
+++ b/lib/Decisions/forwardrouter.cpp
@@ -11,12 +11,12 @@
 {
 
 /// Half-life in seconds of a latency estimate without answers: an upstream that received no work for a while is tried again.
-constexpr auto halfLife = 1.0;
+constexpr auto halfLifeSeconds = 1.0;
 /// Weights of a new latency below and above the current estimate. An increase weighs more, so that a slow upstream is avoided at once.
-constexpr auto fallWeight = 1.0 / 16;
-constexpr auto riseWeight = 1.0 / 4;
+constexpr auto decreaseWeight = 1.0 / 16;
+constexpr auto increaseWeight = 1.0 / 4;
 /// Latency in seconds below which differences are noise.
-constexpr auto leastLatency = 0.005;
+constexpr auto minLatencySeconds = 0.005;
 
 auto seconds(Duration duration) -> double
 {
@@ -29,17 +29,17 @@
 {
     const auto found = this->records.find(upstream);
     if (found == this->records.end()) {
-        return leastLatency;
+        return minLatencySeconds;
     }
-    const auto faded = found->second.latency * std::exp2(-seconds(now - found->second.at) / halfLife);
-    return std::max(leastLatency, faded);
+    const auto decayed = found->second.latency * std::exp2(-seconds(now - found->second.updatedAt) / halfLifeSeconds);
+    return std::max(minLatencySeconds, decayed);
 }
 
 auto ForwardRouter::cost(const UpstreamId &upstream, TimePoint now) const -> double
 {
     const auto found = this->records.find(upstream);
-    const auto underWay = found == this->records.end() ? 0U : found->second.underWay;
-    return this->latency(upstream, now) * (1.0 + underWay);
+    const auto inFlight = found == this->records.end() ? 0U : found->second.inFlight;
+    return this->latency(upstream, now) * (1.0 + inFlight);
 }
 
 auto ForwardRouter::choose(const membership::GroupView &group, const Work &work, TimePoint now) const -> std::optional<UpstreamId>
@@ -67,18 +67,18 @@
 
 auto ForwardRouter::sent(const UpstreamId &upstream) -> void
 {
-    ++this->records[upstream].underWay;
+    ++this->records[upstream].inFlight;
 }
 
 auto ForwardRouter::ended(const UpstreamId &upstream, Duration latency, TimePoint now) -> void
 {
     auto &record = this->records[upstream];
-    assert(record.underWay > 0 && "the work was forwarded");
-    --record.underWay;
-    const auto present = this->latency(upstream, now);
+    assert(record.inFlight > 0 && "the work was forwarded");
+    --record.inFlight;
+    const auto current = this->latency(upstream, now);
     const auto measured = seconds(latency);
-    record.latency = present + (measured > present ? riseWeight : fallWeight) * (measured - present);
-    record.at = now;
+    record.latency = current + (measured > current ? increaseWeight : decreaseWeight) * (measured - current);
+    record.updatedAt = now;
 }
 
 } // namespace sapphirespool::decisions
--- a/lib/Decisions/freshness.cpp
+++ b/lib/Decisions/freshness.cpp
@@ -5,7 +5,7 @@
 namespace sapphirespool::decisions
 {
 
-auto standingPosition(const membership::GroupView &group, const NeededPosition &needed) -> LogPosition
+auto validPosition(const membership::GroupView &group, const NeededPosition &needed) -> LogPosition
 {
     auto position = needed.position;
     for (const auto &start : group.history) {
@@ -16,9 +16,9 @@
     return position;
 }
 
-auto holdsVoidEntries(const membership::GroupView &group, Term term, LogPosition applied) -> bool
+auto holdsDiscardedEntries(const membership::GroupView &group, Term term, LogPosition applied) -> bool
 {
-    return applied > standingPosition(group, {term, applied});
+    return applied > validPosition(group, {term, applied});
 }
 
 auto covers(const membership::GroupView &group, Term term, LogPosition applied, const NeededPosition &needed) -> bool
@@ -30,7 +30,7 @@
     if (term > group.term) {
         return false;
     }
-    return applied >= standingPosition(group, needed);
+    return applied >= validPosition(group, needed);
 }
 
 } // namespace sapphirespool::decisions
--- a/lib/Decisions/groupadmission.cpp
+++ b/lib/Decisions/groupadmission.cpp
@@ -12,15 +12,15 @@
 /// Retry delay while admission control, which estimates waits, is disabled.
 constexpr auto defaultRetryAfter = std::chrono::milliseconds(1000);
 /// Multiple of its equal share of the queue that a caller may hold once the queue is half full.
-constexpr std::size_t overQuotaFactor = 2;
+constexpr std::size_t overShareFactor = 2;
 /// Fraction of the wait limit below which callers' shares of the queue are not enforced.
-constexpr auto quietPart = 0.1;
+constexpr auto unenforcedWaitFraction = 0.1;
 /// Writes that the primary serves for each current read, from the lane weights 8, 4 and 1.
-constexpr std::size_t writesBeforeRead = 2;
+constexpr std::size_t writesPerCurrentRead = 2;
 /// Minimum fraction of the primary's starts for reads that accept stale data, from the lane weights 8, 4 and 1.
-constexpr auto leastTolerantPart = 1.0 / 13;
+constexpr auto minTolerantFraction = 1.0 / 13;
 /// One in this many reads is admitted during a brownout, so that no class of reads starves.
-constexpr std::uint64_t readsPassedInBrownout = 10;
+constexpr std::uint64_t admittedReadInterval = 10;
 
 auto scaled(Duration duration, double factor) -> Duration
 {
@@ -29,33 +29,33 @@
 
 } // namespace
 
-auto GroupScheduler::primaryAhead(const CallerId &caller, Lane lane, TimePoint now) const -> std::size_t
+auto GroupScheduler::entriesAheadOnPrimary(const CallerId &caller, Lane lane, TimePoint now) const -> std::size_t
 {
-    const auto own = this->queue(lane).ahead(caller, this->slotTimes[static_cast<std::size_t>(lane)].mean(), now);
+    const auto own = this->queue(lane).entriesAhead(caller, this->slotTimes[static_cast<std::size_t>(lane)].mean(), now);
     const auto writes = this->queue(Lane::Write).size();
     const auto reads = this->queue(Lane::CurrentRead).size();
     switch (lane) {
     case Lane::Write:
-        return own + std::min(reads, (own + 1) / writesBeforeRead);
+        return own + std::min(reads, (own + 1) / writesPerCurrentRead);
     case Lane::CurrentRead:
-        return own + std::min(writes, (own + 1) * writesBeforeRead);
+        return own + std::min(writes, (own + 1) * writesPerCurrentRead);
     case Lane::TolerantRead:
-        return writes + reads + static_cast<std::size_t>(static_cast<double>(own) / this->leftForTolerant());
+        return writes + reads + static_cast<std::size_t>(static_cast<double>(own) / this->tolerantFractionOnPrimary());
     }
     return own;
 }
 
-auto GroupScheduler::leftForTolerant() const -> double
+auto GroupScheduler::tolerantFractionOnPrimary() const -> double
 {
-    return std::max(1.0 - this->primaryOwnPart, leastTolerantPart);
+    return std::max(1.0 - this->primaryOnlyFraction, minTolerantFraction);
 }
 
-auto GroupScheduler::readSlots(const Work &work, TimePoint now) const -> std::uint32_t
+auto GroupScheduler::usableReplicaSlots(const Work &work, TimePoint now) const -> std::uint32_t
 {
     auto slots = std::uint32_t{0};
     for (const auto &member : this->members) {
         if (!this->isPrimary(*member) && this->replicaServes(work, *member, now)) {
-            slots += member->usable(now);
+            slots += member->usableSlots(now);
         }
     }
     return slots;
@@ -64,37 +64,37 @@
 auto GroupScheduler::estimate(const Work &work, Lane lane, TimePoint now) const -> Estimate
 {
     const auto service = this->slotTimes[static_cast<std::size_t>(lane)].mean();
-    const auto replicaSlots = lane == Lane::TolerantRead ? this->readSlots(work, now) : 0U;
+    const auto replicaSlots = lane == Lane::TolerantRead ? this->usableReplicaSlots(work, now) : 0U;
     if (replicaSlots > 0) {
-        const auto ahead = this->queue(lane).ahead(work.caller, service, now);
+        const auto entriesAhead = this->queue(lane).entriesAhead(work.caller, service, now);
         const auto spacing = service / replicaSlots;
-        const auto busy = std::any_of(this->members.begin(), this->members.end(), [now](const auto &member) {
-            return member->hasFree(now);
+        const auto anyFreeSlot = std::any_of(this->members.begin(), this->members.end(), [now](const auto &member) {
+            return member->hasFreeSlot(now);
         });
-        return {.wait = spacing * (ahead + (busy ? 0 : 1)), .spacing = spacing};
+        return {.wait = spacing * (entriesAhead + (anyFreeSlot ? 0 : 1)), .spacing = spacing};
     }
     const auto *const primary = this->group.primaryMember();
     if (primary == nullptr) {
-        const auto passed = this->primaryLostAt ? now - *this->primaryLostAt : Duration::zero();
+        const auto elapsed = this->primaryLostAt ? now - *this->primaryLostAt : Duration::zero();
         // After the expected time the remaining time is unknown; half of the expected time is assumed.
-        const auto gap = std::max<Duration>(this->settings.admission.expectedGap - passed, this->settings.admission.expectedGap / 2);
-        return {.wait = gap + service * this->primaryAhead(work.caller, lane, now), .spacing = service};
+        const auto gap = std::max<Duration>(this->settings.admission.expectedGap - elapsed, this->settings.admission.expectedGap / 2);
+        return {.wait = gap + service * this->entriesAheadOnPrimary(work.caller, lane, now), .spacing = service};
     }
     const auto state = std::find_if(this->members.begin(), this->members.end(), [this](const auto &member) {
         return this->isPrimary(*member);
     });
-    const auto slots = std::max(1U, (*state)->usable(now));
-    const auto ahead = this->primaryAhead(work.caller, lane, now) + ((*state)->hasFree(now) ? 0 : 1);
+    const auto slots = std::max(1U, (*state)->usableSlots(now));
+    const auto entriesAhead = this->entriesAheadOnPrimary(work.caller, lane, now) + ((*state)->hasFreeSlot(now) ? 0 : 1);
     const auto spacing = service / slots;
-    const auto parkedHere = lane == Lane::Write ? this->parked.find(work.key) : this->parked.end();
-    if (parkedHere != this->parked.end()) {
+    const auto keyWaiters = lane == Lane::Write ? this->waitersByKey.find(work.key) : this->waitersByKey.end();
+    if (keyWaiters != this->waitersByKey.end()) {
         // Writes on one key run one after another, regardless of free slots.
-        return {.wait = std::max(spacing * ahead, service * (parkedHere->second.size() + 1)), .spacing = service};
+        return {.wait = std::max(spacing * entriesAhead, service * (keyWaiters->second.size() + 1)), .spacing = service};
     }
-    return {.wait = spacing * ahead, .spacing = spacing};
+    return {.wait = spacing * entriesAhead, .spacing = spacing};
 }
 
-auto GroupScheduler::givesWay(const Work &work, TimePoint now) -> bool
+auto GroupScheduler::shedByBrownout(const Work &work, TimePoint now) -> bool
 {
     // A replica that only has to reach the position of the session will serve the read without the primary.
     auto ageOnly = work;
@@ -102,21 +102,21 @@
     if (this->brownout.admits(work.maxAge) || this->anyReplicaServes(ageOnly, now)) {
         return false;
     }
-    ++this->browned;
-    return this->browned % readsPassedInBrownout != 0;
+    ++this->brownoutReads;
+    return this->brownoutReads % admittedReadInterval != 0;
 }
 
-auto GroupScheduler::overPart(const Work &work, Lane lane, const Estimate &estimate, Duration budget) const -> bool
+auto GroupScheduler::exceedsCallerShare(const Work &work, Lane lane, const Estimate &estimate, Duration budget) const -> bool
 {
     // In FIFO order the backlog of a hot caller delays all callers. Limiting its share of the queue bounds that delay, and the
     // refusals go to the caller that causes it.
     const auto &laneQueue = this->queue(lane);
     const auto own = laneQueue.sizeOf(work.caller);
-    if (own < 2 || estimate.wait < scaled(budget, quietPart)) {
+    if (own < 2 || estimate.wait < scaled(budget, unenforcedWaitFraction)) {
         return false;
     }
-    const auto part = budget * overQuotaFactor / (laneQueue.activeCallers() + 1);
-    return estimate.spacing * own >= part;
+    const auto callerShare = budget * overShareFactor / (laneQueue.activeCallers() + 1);
+    return estimate.spacing * own >= callerShare;
 }
 
 auto GroupScheduler::admit(const Work &work, Lane lane, const Estimate &estimate, TimePoint now) -> bool
@@ -127,24 +127,24 @@
     if (service > allowed) {
         return false;
     }
-    if (lane == Lane::TolerantRead && this->givesWay(work, now)) {
+    if (lane == Lane::TolerantRead && this->shedByBrownout(work, now)) {
         return false;
     }
     const auto budget = std::min(scaled(allowed, admission.waitFraction), allowed - service);
-    auto &book = this->returns[static_cast<std::size_t>(lane)];
-    if (book.redeem(work.caller, now)) {
+    auto &reservations = this->retryReservations[static_cast<std::size_t>(lane)];
+    if (reservations.redeem(work.caller, now)) {
         return estimate.wait <= std::min(scaled(allowed, admission.returnFraction), allowed - service);
     }
-    if (estimate.wait > budget || this->overPart(work, lane, estimate, budget)) {
+    if (estimate.wait > budget || this->exceedsCallerShare(work, lane, estimate, budget)) {
         return false;
     }
     if (estimate.wait <= scaled(budget, admission.unreservedFraction)) {
         return true;
     }
-    return estimate.wait + estimate.spacing * book.due(now + budget) <= budget;
+    return estimate.wait + estimate.spacing * reservations.due(now + budget) <= budget;
 }
 
-auto GroupScheduler::roomFor(const Work &work, Lane lane, std::uint32_t queueLimit) const -> std::optional<RefusalReason>
+auto GroupScheduler::queueLimitRefusal(const Work &work, Lane lane, std::uint32_t queueLimit) const -> std::optional<RefusalReason>
 {
     const auto found = this->waitingByService.find(work.service);
     const auto waitingNow = found == this->waitingByService.end() ? 0U : found->second;
@@ -153,9 +153,9 @@
     }
     // A caller over its share is refused before the queue is full. Admitted work is never evicted in favour of another caller's.
     const auto &laneQueue = this->queue(lane);
-    const auto part = std::max<std::size_t>(1, overQuotaFactor * queueLimit / (laneQueue.activeCallers() + 1));
+    const auto callerShare = std::max<std::size_t>(1, overShareFactor * queueLimit / (laneQueue.activeCallers() + 1));
     const auto fair = this->settings.queue.discipline != QueueDiscipline::Fifo;
-    if (fair && waitingNow >= queueLimit / 2 && laneQueue.sizeOf(work.caller) >= part) {
+    if (fair && waitingNow >= queueLimit / 2 && laneQueue.sizeOf(work.caller) >= callerShare) {
         return RefusalReason::CallerOverQuota;
     }
     return std::nullopt;
@@ -170,7 +170,7 @@
     const auto allowed = std::max(work.deadline - now, Duration::zero());
     const auto budget = scaled(allowed, this->settings.admission.waitFraction);
     const auto earliest = now + std::max(estimate.wait - budget, estimate.spacing);
-    const auto at = this->returns[static_cast<std::size_t>(lane)].promise(work.caller, earliest, estimate.spacing, now);
+    const auto at = this->retryReservations[static_cast<std::size_t>(lane)].promise(work.caller, earliest, estimate.spacing, now);
     return at - now;
 }
 
--- a/lib/Decisions/groupplacing.cpp
+++ b/lib/Decisions/groupplacing.cpp
@@ -15,7 +15,7 @@
 /// gets at least a thirteenth of the slots while it has waiting work, so none starves.
 constexpr auto laneWeights = std::to_array<double>({8, 4, 1});
 /// Smoothing weight; the average follows a change of the load within about 64 starts.
-constexpr auto ownPartWeight = 1.0 / 64;
+constexpr auto primaryOnlyFractionWeight = 1.0 / 64;
 static_assert(laneWeights.size() == laneCount);
 
 } // namespace
@@ -27,7 +27,7 @@
 
 auto GroupScheduler::replicaServes(const Work &work, const UpstreamState &upstream, TimePoint now) const -> bool
 {
-    if (upstream.usable(now) == 0 || this->ejected.contains(upstream.view.id)) {
+    if (upstream.usableSlots(now) == 0 || this->ejected.contains(upstream.view.id)) {
         return false;
     }
     const auto age = upstream.age(now);
@@ -35,7 +35,7 @@
         return false;
     }
     const auto &seen = *upstream.observation;
-    if (holdsVoidEntries(this->group, seen.term, seen.applied)) {
+    if (holdsDiscardedEntries(this->group, seen.term, seen.applied)) {
         return false;
     }
     return !work.needed || covers(this->group, seen.term, seen.applied, *work.needed);
@@ -57,18 +57,18 @@
     if (!this->anyReplicaServes(waiting.work, now)) {
         return true;
     }
-    if (now < waiting.patienceEnd || !this->brownout.admits(waiting.work.maxAge)) {
+    if (now < waiting.primaryAllowedAt || !this->brownout.admits(waiting.work.maxAge)) {
         return false;
     }
     // One slot of the primary stays free for writes: a read that a replica could serve must not make a booking wait.
-    const auto usable = primary.usable(now);
-    return usable < 2 || primary.running + 1 < usable;
+    const auto usableSlots = primary.usableSlots(now);
+    return usableSlots < 2 || primary.running + 1 < usableSlots;
 }
 
 auto GroupScheduler::mayRun(const Waiting &waiting, const UpstreamState &upstream, TimePoint now) const -> bool
 {
     const auto &work = waiting.work;
-    if (!this->guard.admits(work, upstream.view.id, upstream.usable(now), upstream.running, now)) {
+    if (!this->guard.admits(work, upstream.view.id, upstream.usableSlots(now), upstream.running, now)) {
         return false;
     }
     if (!this->isPrimary(upstream)) {
@@ -89,10 +89,10 @@
     return seconds * (1.0 + static_cast<double>(upstream.running) / slots) + 2 * zone;
 }
 
-auto GroupScheduler::pump(TimePoint now, DecisionSink &sink) -> void
+auto GroupScheduler::dispatchWaiting(TimePoint now, DecisionSink &sink) -> void
 {
     this->endEjections(now);
-    this->watchBrownout(now);
+    this->updateBrownout(now);
     if (this->waiting.empty()) {
         return;
     }
@@ -105,8 +105,8 @@
             return this->expectedLatency(*left) < this->expectedLatency(*right);
         });
     } else if (!order.empty()) {
-        ++this->turn;
-        std::rotate(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(this->turn % order.size()), order.end());
+        ++this->roundRobinOffset;
+        std::rotate(order.begin(), order.begin() + static_cast<std::ptrdiff_t>(this->roundRobinOffset % order.size()), order.end());
     }
     // Replicas come first, so that the primary serves only the reads that they cannot take.
     std::stable_partition(order.begin(), order.end(), [this](const UpstreamState *upstream) {
@@ -116,17 +116,17 @@
     while (placed) {
         placed = false;
         for (auto *const upstream : order) {
-            placed = this->fill(*upstream, now, sink) || placed;
+            placed = this->startNextOn(*upstream, now, sink) || placed;
         }
     }
 }
 
-auto GroupScheduler::fill(UpstreamState &upstream, TimePoint now, DecisionSink &sink) -> bool
+auto GroupScheduler::startNextOn(UpstreamState &upstream, TimePoint now, DecisionSink &sink) -> bool
 {
-    if (!upstream.hasFree(now)) {
+    if (!upstream.hasFreeSlot(now)) {
         return false;
     }
-    const auto entry = this->takeFor(upstream, now);
+    const auto entry = this->popFor(upstream, now);
     if (!entry) {
         return false;
     }
@@ -142,32 +142,32 @@
     });
     std::stable_sort(lanes.begin(), lanes.end(), [this](Lane left, Lane right) {
         if (this->settings.classWeights) {
-            return this->laneTimes[static_cast<std::size_t>(left)] < this->laneTimes[static_cast<std::size_t>(right)];
+            return this->laneVirtualTimes[static_cast<std::size_t>(left)] < this->laneVirtualTimes[static_cast<std::size_t>(right)];
         }
         return this->waiting.at(this->queue(left).front().id).since < this->waiting.at(this->queue(right).front().id).since;
     });
     return lanes;
 }
 
-auto GroupScheduler::takeFor(UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>
+auto GroupScheduler::popFor(UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>
 {
     if (!this->isPrimary(upstream)) {
-        return this->takeFromLane(Lane::TolerantRead, upstream, now);
+        return this->popFromLane(Lane::TolerantRead, upstream, now);
     }
     for (const auto lane : this->laneOrder()) {
-        const auto entry = this->takeFromLane(lane, upstream, now);
+        const auto entry = this->popFromLane(lane, upstream, now);
         if (!entry) {
             continue;
         }
         const auto index = static_cast<std::size_t>(lane);
-        this->primaryOwnPart += ((lane == Lane::TolerantRead ? 0.0 : 1.0) - this->primaryOwnPart) * ownPartWeight;
-        this->laneTimes[index] += std::chrono::duration<double>(this->slotTimes[index].mean()).count() / laneWeights[index];
+        this->primaryOnlyFraction += ((lane == Lane::TolerantRead ? 0.0 : 1.0) - this->primaryOnlyFraction) * primaryOnlyFractionWeight;
+        this->laneVirtualTimes[index] += std::chrono::duration<double>(this->slotTimes[index].mean()).count() / laneWeights[index];
         return entry;
     }
     return std::nullopt;
 }
 
-auto GroupScheduler::takeFromLane(Lane lane, UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>
+auto GroupScheduler::popFromLane(Lane lane, UpstreamState &upstream, TimePoint now) -> std::optional<QueueEntry>
 {
     const auto eligible = [this, &upstream, now](WorkId id) {
         return this->mayRun(this->waiting.at(id), upstream, now);
@@ -177,8 +177,8 @@
 
 auto GroupScheduler::startOn(UpstreamState &upstream, WorkId id, TimePoint now, DecisionSink &sink) -> void
 {
-    auto entry = this->forget(id);
-    assert(upstream.running < upstream.usable(now) && "the upstream has a free slot");
+    auto entry = this->removeWaiting(id);
+    assert(upstream.running < upstream.usableSlots(now) && "the upstream has a free slot");
     assert((this->isPrimary(upstream) || entry.lane == Lane::TolerantRead) && "only reads that accept stale data go to a replica");
     ++upstream.running;
     this->guard.started(entry.work, upstream.view.id, now);
@@ -187,7 +187,7 @@
     this->running.emplace(id, Running{std::move(entry.work), entry.lane, upstream.view.id, now, expected});
 }
 
-auto GroupScheduler::watchBrownout(TimePoint now) -> void
+auto GroupScheduler::updateBrownout(TimePoint now) -> void
 {
     auto wait = Duration::zero();
     for (const auto lane : {Lane::Write, Lane::CurrentRead}) {
--- a/lib/Decisions/groupscheduler.cpp
+++ b/lib/Decisions/groupscheduler.cpp
@@ -21,10 +21,10 @@
     return {FairQueue(settings, level), FairQueue(settings, level), FairQueue(settings, level)};
 }
 
-auto makeReturns(const AdmissionSettings &settings) -> std::array<ReturnBook, laneCount>
+auto makeRetryReservations(const AdmissionSettings &settings) -> std::array<ReturnBook, laneCount>
 {
-    const auto book = ReturnBook(settings.longestRetryAfter, settings.returnGrace);
-    return {book, book, book};
+    const auto reservations = ReturnBook(settings.longestRetryAfter, settings.returnGrace);
+    return {reservations, reservations, reservations};
 }
 
 } // namespace
@@ -43,7 +43,7 @@
     , queues(makeQueues(settings.queue, this->guard))
     , slotTimes{ServiceEstimate(slotTimeWeight), ServiceEstimate(slotTimeWeight), ServiceEstimate(slotTimeWeight)}
     , brownout(settings.brownout)
-    , returns(makeReturns(settings.admission))
+    , retryReservations(makeRetryReservations(settings.admission))
 {
 }
 
@@ -67,7 +67,7 @@
 
 auto GroupScheduler::setDefaultShare(UpstreamState &upstream) const -> void
 {
-    if (upstream.granted || !this->settings.staticShares) {
+    if (upstream.allocatorAssigned || !this->settings.staticShares) {
         return;
     }
     const auto divisor = static_cast<std::uint32_t>(std::max<std::size_t>(1, this->proxies));
@@ -81,40 +81,40 @@
     const auto firstView = this->members.empty();
     this->group = view;
     this->proxies = proxies;
-    auto present = std::vector<std::unique_ptr<UpstreamState>>();
+    auto updatedMembers = std::vector<std::unique_ptr<UpstreamState>>();
     for (const auto &member : view.members) {
         const auto old = std::find_if(this->members.begin(), this->members.end(), [&member](const auto &candidate) {
             return candidate && candidate->view.id == member.id;
         });
         const auto restarted = old != this->members.end() && (*old)->view.incarnation != member.incarnation;
         if (old != this->members.end() && !restarted) {
-            present.push_back(std::move(*old));
-            present.back()->view = member;
+            updatedMembers.push_back(std::move(*old));
+            updatedMembers.back()->view = member;
         } else {
-            present.push_back(std::make_unique<UpstreamState>(this->settings, member));
+            updatedMembers.push_back(std::make_unique<UpstreamState>(this->settings, member));
             // Work sent before a restart, or before the member left the view for a while, still holds its slot until it ends.
             // If it were not counted, the member would receive more work than its share, and the count would underflow when it ends.
-            present.back()->running = this->runningOn(member.id);
+            updatedMembers.back()->running = this->runningOn(member.id);
             if (restarted) {
-                present.back()->share = (*old)->share;
-                present.back()->granted = (*old)->granted;
+                updatedMembers.back()->share = (*old)->share;
+                updatedMembers.back()->allocatorAssigned = (*old)->allocatorAssigned;
             }
             if (!firstView) {
-                present.back()->slowStart.begin(now);
+                updatedMembers.back()->slowStart.begin(now);
             }
         }
-        this->setDefaultShare(*present.back());
+        this->setDefaultShare(*updatedMembers.back());
         if (promoted && !firstView && view.primary == member.id) {
-            present.back()->slowStart.begin(now);
+            updatedMembers.back()->slowStart.begin(now);
         }
     }
-    this->members = std::move(present);
+    this->members = std::move(updatedMembers);
     if (view.primary) {
         this->primaryLostAt.reset();
     } else if (!this->primaryLostAt) {
         this->primaryLostAt = now;
     }
-    this->pump(now, sink);
+    this->dispatchWaiting(now, sink);
 }
 
 auto GroupScheduler::runningOn(const UpstreamId &upstream) const -> std::uint32_t
@@ -139,57 +139,57 @@
         this->refuse(work, lane, reason, now, sink);
         return;
     }
-    if (const auto reason = this->roomFor(work, lane, queueLimit)) {
+    if (const auto reason = this->queueLimitRefusal(work, lane, queueLimit)) {
         this->refuse(work, lane, *reason, now, sink);
         return;
     }
     this->enqueue(std::move(work), lane, now);
-    this->pump(now, sink);
+    this->dispatchWaiting(now, sink);
 }
 
 auto GroupScheduler::enqueue(Work work, Lane lane, TimePoint now) -> void
 {
     auto entry = Waiting{.work = std::move(work), .lane = lane, .since = now};
-    const auto &held = entry.work;
-    const auto allowed = held.deadline - now;
+    const auto &queued = entry.work;
+    const auto allowed = queued.deadline - now;
     const auto service = this->slotTimes[static_cast<std::size_t>(lane)].mean();
-    entry.latestStart = this->settings.admission.enabled && service < allowed ? held.deadline - service : held.deadline;
-    const auto patienceTime = std::chrono::duration_cast<Duration>(allowed * this->settings.routing.replicaPatience);
-    entry.patienceEnd = now + std::min<Duration>(patienceTime, this->settings.routing.longestPatience);
-    const auto id = held.id;
-    ++this->waitingByService[held.service];
+    entry.latestStart = this->settings.admission.enabled && service < allowed ? queued.deadline - service : queued.deadline;
+    const auto replicaWaitLimit = std::chrono::duration_cast<Duration>(allowed * this->settings.routing.replicaPatience);
+    entry.primaryAllowedAt = now + std::min<Duration>(replicaWaitLimit, this->settings.routing.longestPatience);
+    const auto id = queued.id;
+    ++this->waitingByService[queued.service];
     this->expiries.emplace(entry.latestStart, id);
     if (lane == Lane::TolerantRead) {
-        this->patience.emplace(entry.patienceEnd, id);
-    }
-    const auto queueEntry = QueueEntry{id, held.caller};
-    auto &lanePark = this->parked;
-    const auto waitsForKey = this->settings.bulkhead.enabled && !held.key.empty() && lane == Lane::Write;
-    if (waitsForKey && (this->guard.keyBusy(held) || lanePark.contains(held.key))) {
-        entry.parked = true;
-        lanePark[held.key].push_back(id);
+        this->primaryAllowedTimers.emplace(entry.primaryAllowedAt, id);
+    }
+    const auto queueEntry = QueueEntry{id, queued.caller};
+    auto &waiters = this->waitersByKey;
+    const auto isKeyedWrite = this->settings.bulkhead.enabled && !queued.key.empty() && lane == Lane::Write;
+    if (isKeyedWrite && (this->guard.keyBusy(queued) || waiters.contains(queued.key))) {
+        entry.waitsForKey = true;
+        waiters[queued.key].push_back(id);
     } else {
-        if (waitsForKey) {
+        if (isKeyedWrite) {
             // Marks the key as taken: the next write on it waits outside the lane queue, where it would be scanned in vain.
-            lanePark[held.key];
+            waiters[queued.key];
         }
         auto &laneQueue = this->queue(lane);
         if (laneQueue.size() == 0) {
-            auto &own = this->laneTimes[static_cast<std::size_t>(lane)];
-            own = std::max(own, *std::min_element(this->laneTimes.begin(), this->laneTimes.end()));
+            auto &own = this->laneVirtualTimes[static_cast<std::size_t>(lane)];
+            own = std::max(own, *std::min_element(this->laneVirtualTimes.begin(), this->laneVirtualTimes.end()));
         }
         laneQueue.push(queueEntry, now);
     }
     this->waiting.emplace(id, std::move(entry));
 }
 
-auto GroupScheduler::forget(WorkId id) -> Waiting
+auto GroupScheduler::removeWaiting(WorkId id) -> Waiting
 {
     auto node = this->waiting.extract(id);
     assert(!node.empty() && "the work is waiting");
     auto entry = std::move(node.mapped());
     this->expiries.erase({entry.latestStart, id});
-    this->patience.erase({entry.patienceEnd, id});
+    this->primaryAllowedTimers.erase({entry.primaryAllowedAt, id});
     const auto service = this->waitingByService.find(entry.work.service);
     --service->second;
     if (service->second == 0) {
@@ -200,18 +200,18 @@
 
 auto GroupScheduler::releaseKey(const std::string &key, TimePoint now) -> void
 {
-    const auto found = this->parked.find(key);
-    if (found == this->parked.end()) {
+    const auto found = this->waitersByKey.find(key);
+    if (found == this->waitersByKey.end()) {
         return;
     }
     if (found->second.empty()) {
-        this->parked.erase(found);
+        this->waitersByKey.erase(found);
         return;
     }
     const auto next = found->second.front();
     found->second.pop_front();
     auto &entry = this->waiting.at(next);
-    entry.parked = false;
+    entry.waitsForKey = false;
     this->queue(entry.lane).push({next, entry.work.caller}, now);
 }
 
@@ -234,13 +234,13 @@
         --upstream->running;
         // The duration of a transaction depends more on its caller than on the upstream.
         if (!ended.work.transaction || outcome == WorkOutcome::Failed) {
-            this->judge(*upstream, outcome, took, now);
+            this->updateUpstreamHealth(*upstream, outcome, took, now);
         }
     }
     if (this->settings.bulkhead.enabled && ended.lane == Lane::Write && !ended.work.key.empty()) {
         this->releaseKey(ended.work.key, now);
     }
-    this->pump(now, sink);
+    this->dispatchWaiting(now, sink);
     return true;
 }
 
@@ -250,15 +250,15 @@
     if (found == this->waiting.end()) {
         return false;
     }
-    const auto entry = this->forget(id);
-    if (entry.parked) {
-        std::erase(this->parked.at(entry.work.key), id);
+    const auto entry = this->removeWaiting(id);
+    if (entry.waitsForKey) {
+        std::erase(this->waitersByKey.at(entry.work.key), id);
         return true;
     }
     this->queue(entry.lane).erase({id, entry.work.caller});
     if (this->settings.bulkhead.enabled && entry.lane == Lane::Write && !entry.work.key.empty() && !this->guard.keyBusy(entry.work)) {
         this->releaseKey(entry.work.key, now);
-        this->pump(now, sink);
+        this->dispatchWaiting(now, sink);
     }
     return true;
 }
@@ -269,15 +269,15 @@
     if (upstream == nullptr) {
         return;
     }
-    const auto &held = upstream->observation;
+    const auto &previous = upstream->observation;
     // Answers may arrive out of order; an older report must not move the known position of an upstream back.
-    const auto older = held && (observation.term < held->term || (observation.term == held->term && observation.applied < held->applied));
+    const auto older = previous && (observation.term < previous->term || (observation.term == previous->term && observation.applied < previous->applied));
     if (older) {
         return;
     }
     upstream->observation = observation;
     upstream->observedAt = now;
-    this->pump(now, sink);
+    this->dispatchWaiting(now, sink);
 }
 
 auto GroupScheduler::shareChanged(const UpstreamId &upstream, Share share, TimePoint now, DecisionSink &sink) -> bool
@@ -287,12 +287,12 @@
         return false;
     }
     state->share = share;
-    state->granted = true;
-    this->pump(now, sink);
+    state->allocatorAssigned = true;
+    this->dispatchWaiting(now, sink);
     return true;
 }
 
-auto GroupScheduler::peerMean(const UpstreamState &upstream) const -> Duration
+auto GroupScheduler::medianPeerTime(const UpstreamState &upstream) const -> Duration
 {
     auto means = std::vector<Duration>();
     for (const auto &member : this->members) {
@@ -307,17 +307,17 @@
     return means[(means.size() - 1) / 2];
 }
 
-auto GroupScheduler::judge(UpstreamState &upstream, WorkOutcome outcome, Duration took, TimePoint now) -> void
+auto GroupScheduler::updateUpstreamHealth(UpstreamState &upstream, WorkOutcome outcome, Duration took, TimePoint now) -> void
 {
     if (outcome == WorkOutcome::Answered || outcome == WorkOutcome::Rejected) {
         upstream.service.record(took);
     }
     upstream.concurrency.record(outcome, upstream.share.slots);
-    const auto wanted = upstream.ejection.record(outcome, upstream.service, this->peerMean(upstream));
+    const auto shouldEject = upstream.ejection.record(outcome, upstream.service, this->medianPeerTime(upstream));
     // At least two members of the group are never ejected, however slow they are. Otherwise a common cause, such as a full disk
     // shared by all of them, would eject one after another and turn slow answers into none.
-    const auto staying = this->members.size() - this->ejected.size();
-    if (wanted && !this->isPrimary(upstream) && !upstream.ejection.ejected(now) && staying > 2) {
+    const auto remaining = this->members.size() - this->ejected.size();
+    if (shouldEject && !this->isPrimary(upstream) && !upstream.ejection.ejected(now) && remaining > 2) {
         upstream.ejection.eject(now);
         this->ejected.insert(upstream.view.id);
     }
@@ -338,9 +338,9 @@
 auto GroupScheduler::tick(TimePoint now, DecisionSink &sink) -> void
 {
     this->expire(now, sink);
-    this->pump(now, sink);
-    while (!this->patience.empty() && this->patience.begin()->first <= now) {
-        this->patience.erase(this->patience.begin());
+    this->dispatchWaiting(now, sink);
+    while (!this->primaryAllowedTimers.empty() && this->primaryAllowedTimers.begin()->first <= now) {
+        this->primaryAllowedTimers.erase(this->primaryAllowedTimers.begin());
     }
 }
 
@@ -355,14 +355,14 @@
     if (!this->expiries.empty()) {
         consider(this->expiries.begin()->first);
     }
-    if (!this->patience.empty()) {
-        consider(this->patience.begin()->first);
+    if (!this->primaryAllowedTimers.empty()) {
+        consider(this->primaryAllowedTimers.begin()->first);
     }
     if (this->waiting.empty()) {
         return next;
     }
     for (const auto &member : this->members) {
-        consider(member->ejection.returnsAt(now));
+        consider(member->ejection.ejectionEnd(now));
         consider(member->slowStart.nextStep(member->share.slots, now));
     }
     return next;
--- a/lib/Decisions/loaddispatcher.cpp
+++ b/lib/Decisions/loaddispatcher.cpp
@@ -86,14 +86,14 @@
     /// Scheduler of each piece of work that is waiting or running.
     std::unordered_map<WorkId, GroupScheduler *> owners;
     /// Latest time passed by any event; nextTick() has no time parameter.
-    TimePoint latest{};
+    TimePoint latestTime{};
 };
 
 LoadDispatcher::Sink::Sink(LoadDispatcher &owner, TimePoint now)
     : owner(owner)
     , now(now)
 {
-    owner.latest = std::max(owner.latest, now);
+    owner.latestTime = std::max(owner.latestTime, now);
 }
 
 auto LoadDispatcher::Sink::start(const Work &work, const UpstreamId &upstream) -> void
@@ -156,8 +156,8 @@
         sink.refuse(work, RefusalReason::NoUpstream, std::nullopt);
         return std::move(sink.actions);
     }
-    if (const auto *const refusing = this->refusingDependency(*service, now)) {
-        sink.refuse(work, RefusalReason::DependencyRefusing, refusing->guard.retryAfter());
+    if (const auto *const overloaded = this->refusingDependency(*service, now)) {
+        sink.refuse(work, RefusalReason::DependencyRefusing, overloaded->guard.retryAfter());
         return std::move(sink.actions);
     }
     auto &state = this->serviceState(work.service);
@@ -179,9 +179,9 @@
     assert(owner != this->owners.end() && "the work is waiting or running");
     auto *const group = owner->second;
     this->owners.erase(owner);
-    const auto known = group->finished(id, outcome, now, sink);
-    assert(known && "only started work can end");
-    static_cast<void>(known);
+    const auto wasRunning = group->finished(id, outcome, now, sink);
+    assert(wasRunning && "only started work can end");
+    static_cast<void>(wasRunning);
     return std::move(sink.actions);
 }
 
@@ -257,7 +257,7 @@
 {
     auto next = std::optional<TimePoint>();
     for (const auto &[id, scheduler] : this->groups) {
-        const auto candidate = scheduler->nextTick(this->latest);
+        const auto candidate = scheduler->nextTick(this->latestTime);
         if (candidate && (!next || *candidate < *next)) {
             next = candidate;
         }
--- a/lib/Decisions/slotguard.cpp
+++ b/lib/Decisions/slotguard.cpp
@@ -12,12 +12,12 @@
 {
 
 /// Time without activity after which no slot is reserved for a kind of work.
-constexpr auto remembered = std::chrono::seconds(1);
+constexpr auto activityWindow = std::chrono::seconds(1);
 /// Half-life of recorded usage; long enough that a burst of a few statements does not make a caller hot.
-constexpr auto usedHalfLife = std::chrono::seconds(2);
+constexpr auto usageHalfLife = std::chrono::seconds(2);
 constexpr std::uint32_t highestUseLevel = 8;
 /// Maximum number of caller records. Beyond it all are discarded and learned anew, which costs each caller one long statement.
-constexpr std::size_t callersKept = 16'384;
+constexpr std::size_t maxCallerRecords = 16'384;
 
 } // namespace
 
@@ -35,30 +35,30 @@
     return found->second.length.mean() > this->shortService.mean() * this->settings.longFactor;
 }
 
-auto SlotGuard::faded(double used, TimePoint usedAt, TimePoint now) -> double
+auto SlotGuard::decayed(double used, TimePoint usedAt, TimePoint now) -> double
 {
-    return used * std::exp2(-std::chrono::duration<double>(now - usedAt) / usedHalfLife);
+    return used * std::exp2(-std::chrono::duration<double>(now - usedAt) / usageHalfLife);
 }
 
 auto SlotGuard::countActive(const CallerId &caller, TimePoint now) -> void
 {
-    if (now - this->activeSince >= remembered) {
-        this->activeBefore = std::move(this->activeNow);
-        this->activeNow.clear();
-        this->activeSince = now;
+    if (now - this->activeWindowStart >= activityWindow) {
+        this->previouslyActiveCallers = std::move(this->activeCallers);
+        this->activeCallers.clear();
+        this->activeWindowStart = now;
     }
-    this->activeNow.insert(caller);
+    this->activeCallers.insert(caller);
 }
 
 auto SlotGuard::useLevel(const CallerId &caller, std::uint32_t spacing, TimePoint now) const -> std::uint32_t
 {
-    const auto active = std::max(this->activeNow.size(), this->activeBefore.size());
+    const auto active = std::max(this->activeCallers.size(), this->previouslyActiveCallers.size());
     const auto found = this->callers.find(caller);
     if (active < 2 || found == this->callers.end()) {
         return 0;
     }
-    const auto own = faded(found->second.used, found->second.usedAt, now);
-    auto threshold = faded(this->usedByAll, this->usedByAllAt, now) / static_cast<double>(active) * this->settings.hotFactor;
+    const auto own = decayed(found->second.used, found->second.usedAt, now);
+    auto threshold = decayed(this->totalUsed, this->totalUsedAt, now) / static_cast<double>(active) * this->settings.hotFactor;
     auto level = std::uint32_t{0};
     while (own > threshold && level < highestUseLevel) {
         threshold *= spacing;
@@ -75,8 +75,8 @@
 auto SlotGuard::otherServicesActive(const ServiceId &service, TimePoint now) const -> std::uint32_t
 {
     auto others = std::uint32_t{0};
-    for (const auto &[other, seen] : this->serviceSeen) {
-        if (other != service && now - seen < remembered) {
+    for (const auto &[other, seen] : this->serviceLastSeen) {
+        if (other != service && now - seen < activityWindow) {
             ++others;
         }
     }
@@ -92,13 +92,13 @@
     return found != this->keys.end() && found->second >= this->settings.writesPerKey;
 }
 
-auto SlotGuard::admits(const Work &work, const UpstreamId &upstream, std::uint32_t usable, std::uint32_t running, TimePoint now) const -> bool
+auto SlotGuard::admits(const Work &work, const UpstreamId &upstream, std::uint32_t usableSlots, std::uint32_t running, TimePoint now) const -> bool
 {
     if (!this->settings.enabled) {
         return true;
     }
     // With fair order alone a hot caller fills each slot that becomes available, and the others wait for a slot more often.
-    if (usable >= 2 && running + 1 >= usable && this->isHot(work.caller, now)) {
+    if (usableSlots >= 2 && running + 1 >= usableSlots && this->isHot(work.caller, now)) {
         return false;
     }
     const auto found = this->upstreams.find(upstream);
@@ -106,9 +106,9 @@
         return true;
     }
     const auto &use = found->second;
-    const auto shortWorkAround = this->shortSeen && now - *this->shortSeen < remembered;
-    if (shortWorkAround && this->isLong(work.caller)) {
-        const auto allowed = std::max(1U, static_cast<std::uint32_t>(usable * this->settings.longFraction));
+    const auto shortWorkActive = this->shortLastSeen && now - *this->shortLastSeen < activityWindow;
+    if (shortWorkActive && this->isLong(work.caller)) {
+        const auto allowed = std::max(1U, static_cast<std::uint32_t>(usableSlots * this->settings.longFraction));
         if (use.longRunning >= allowed) {
             return false;
         }
@@ -118,7 +118,7 @@
         return true;
     }
     const auto others = this->otherServicesActive(work.service, now);
-    const auto allowed = usable > others ? usable - others : 1U;
+    const auto allowed = usableSlots > others ? usableSlots - others : 1U;
     return service->second < allowed;
 }
 
@@ -126,10 +126,10 @@
 {
     auto &use = this->upstreams[upstream];
     ++use.byService[work.service];
-    this->serviceSeen[work.service] = now;
+    this->serviceLastSeen[work.service] = now;
     if (this->isLong(work.caller)) {
         ++use.longRunning;
-        this->longWork.insert(work.id);
+        this->longRunningWork.insert(work.id);
     }
     if (!work.key.empty() && work.access == Access::Write) {
         ++this->keys[work.key];
@@ -145,7 +145,7 @@
     if (serviceCount == 0) {
         use.byService.erase(work.service);
     }
-    if (this->longWork.erase(work.id) > 0) {
+    if (this->longRunningWork.erase(work.id) > 0) {
         --use.longRunning;
     }
     if (!work.key.empty() && work.access == Access::Write) {
@@ -156,27 +156,27 @@
             this->keys.erase(key);
         }
     }
-    this->forgetCallers();
+    this->limitCallerRecords();
     auto &record = this->callers[work.caller];
     const auto seconds = std::chrono::duration<double>(took).count();
     record.length.record(took);
-    record.used = faded(record.used, record.usedAt, now) + seconds;
+    record.used = decayed(record.used, record.usedAt, now) + seconds;
     record.usedAt = now;
-    this->usedByAll = faded(this->usedByAll, this->usedByAllAt, now) + seconds;
-    this->usedByAllAt = now;
+    this->totalUsed = decayed(this->totalUsed, this->totalUsedAt, now) + seconds;
+    this->totalUsedAt = now;
     this->countActive(work.caller, now);
     // The reference is the service time of short work; if it included long work, no work would be long relative to the mean.
     if (!this->isLong(work.caller)) {
         this->shortService.record(took);
-        this->shortSeen = now;
+        this->shortLastSeen = now;
     } else if (took < this->shortService.mean()) {
         this->shortService.record(took);
     }
 }
 
-auto SlotGuard::forgetCallers() -> void
+auto SlotGuard::limitCallerRecords() -> void
 {
-    if (this->callers.size() > callersKept) {
+    if (this->callers.size() > maxCallerRecords) {
         this->callers.clear();
     }
 }
--- a/lib/Decisions/upstreamstate.cpp
+++ b/lib/Decisions/upstreamstate.cpp
@@ -11,8 +11,8 @@
 {
 
 /// Consecutive normal answers after which the ejection backoff is reset.
-constexpr std::uint32_t goodAnswersToForgive = 100;
-constexpr std::uint32_t longestDoubling = 16;
+constexpr std::uint32_t successesToResetBackoff = 100;
+constexpr std::uint32_t maxDoublings = 16;
 
 } // namespace
 
@@ -21,13 +21,13 @@
 {
 }
 
-auto Ejection::record(WorkOutcome outcome, const ServiceEstimate &own, Duration peerMean) -> bool
+auto Ejection::record(WorkOutcome outcome, const ServiceEstimate &own, Duration medianPeerTime) -> bool
 {
     if (!this->settings.enabled) {
         return false;
     }
     if (outcome == WorkOutcome::Failed) {
-        this->goodSince = 0;
+        this->successesInRow = 0;
         ++this->failuresInRow;
         return this->failuresInRow >= this->settings.consecutiveFailures;
     }
@@ -35,13 +35,14 @@
         return false;
     }
     this->failuresInRow = 0;
-    const auto slow = peerMean > Duration::zero() && own.samples() >= this->settings.minimumSamples && own.mean() > peerMean * this->settings.slowFactor;
+    const auto slow
+        = medianPeerTime > Duration::zero() && own.samples() >= this->settings.minimumSamples && own.mean() > medianPeerTime * this->settings.slowFactor;
     if (slow) {
-        this->goodSince = 0;
+        this->successesInRow = 0;
         return true;
     }
-    ++this->goodSince;
-    if (this->goodSince >= goodAnswersToForgive) {
+    ++this->successesInRow;
+    if (this->successesInRow >= successesToResetBackoff) {
         this->ejections = 0;
     }
     return false;
@@ -49,7 +50,7 @@
 
 auto Ejection::eject(TimePoint now) -> void
 {
-    const auto doublings = std::min(this->ejections, longestDoubling);
+    const auto doublings = std::min(this->ejections, maxDoublings);
     const auto time = std::min(this->settings.firstEjection * (std::int64_t{1} << doublings), this->settings.longestEjection);
     this->until = now + time;
     this->failuresInRow = 0;
@@ -61,7 +62,7 @@
     return this->until && now < *this->until;
 }
 
-auto Ejection::returnsAt(TimePoint now) const -> std::optional<TimePoint>
+auto Ejection::ejectionEnd(TimePoint now) const -> std::optional<TimePoint>
 {
     return this->ejected(now) ? this->until : std::nullopt;
 }
@@ -76,20 +77,20 @@
     if (!this->settings.enabled || share == 0) {
         return;
     }
-    const auto present = std::min(this->bound.value_or(share), static_cast<double>(share));
+    const auto current = std::min(this->currentLimit.value_or(share), static_cast<double>(share));
     if (outcome == WorkOutcome::Failed || outcome == WorkOutcome::NotRun) {
-        this->bound = std::max(1.0, present * this->settings.decrease);
+        this->currentLimit = std::max(1.0, current * this->settings.decrease);
         return;
     }
-    this->bound = present + 1.0 / present;
+    this->currentLimit = current + 1.0 / current;
 }
 
 auto ConcurrencyLimit::limit(std::uint32_t share) const -> std::uint32_t
 {
-    if (!this->bound) {
+    if (!this->currentLimit) {
         return share;
     }
-    return std::min(share, static_cast<std::uint32_t>(*this->bound));
+    return std::min(share, static_cast<std::uint32_t>(*this->currentLimit));
 }
 
 SlowStart::SlowStart(SlowStartSettings settings)
@@ -109,18 +110,18 @@
     if (!this->since || share == 0) {
         return share;
     }
-    const auto part = std::chrono::duration<double>(now - *this->since) / std::chrono::duration<double>(this->settings.duration);
-    const auto slots = static_cast<std::uint32_t>(1.0 + std::max(0.0, part) * share);
+    const auto fraction = std::chrono::duration<double>(now - *this->since) / std::chrono::duration<double>(this->settings.duration);
+    const auto slots = static_cast<std::uint32_t>(1.0 + std::max(0.0, fraction) * share);
     return std::min(share, slots);
 }
 
 auto SlowStart::nextStep(std::uint32_t share, TimePoint now) const -> std::optional<TimePoint>
 {
-    const auto present = this->limit(share, now);
-    if (!this->since || present >= share) {
+    const auto current = this->limit(share, now);
+    if (!this->since || current >= share) {
         return std::nullopt;
     }
-    const auto step = std::chrono::duration<double>(this->settings.duration) * present / share;
+    const auto step = std::chrono::duration<double>(this->settings.duration) * current / share;
     return *this->since + std::chrono::ceil<Duration>(step) + Duration(1);
 }
 
@@ -132,7 +133,7 @@
 {
 }
 
-auto UpstreamState::usable(TimePoint now) const -> std::uint32_t
+auto UpstreamState::usableSlots(TimePoint now) const -> std::uint32_t
 {
     if (this->view.leaving) {
         return 0;
@@ -141,9 +142,9 @@
     return std::min(limited, this->slowStart.limit(this->share.slots, now));
 }
 
-auto UpstreamState::hasFree(TimePoint now) const -> bool
+auto UpstreamState::hasFreeSlot(TimePoint now) const -> bool
 {
-    return this->running < this->usable(now);
+    return this->running < this->usableSlots(now);
 }
 
 auto UpstreamState::age(TimePoint now) const -> std::optional<Duration>
