--- a/include/sapphirespool/Decisions/groupscheduler.h
+++ b/include/sapphirespool/Decisions/groupscheduler.h
@@ -81,6 +81,7 @@
         Lane lane = Lane::Write;
         TimePoint since;
         TimePoint latestStart;
+        /// When a read that accepts stale data may start on the primary although a replica could serve it.
         TimePoint primaryAllowedAt;
         /// Whether the work waits outside its lane's queue until the running write on the same key ends.
         bool waitsForKey = false;
@@ -156,6 +157,7 @@
     std::unordered_map<WorkId, Waiting> waiting;
     std::unordered_map<WorkId, Running> running;
     std::unordered_map<ServiceId, std::uint32_t> waitingByService;
+    /// Writes that wait for the queued or running write on their key; an empty list marks a key that is taken.
     std::unordered_map<std::string, std::deque<WorkId>> waitersByKey;
     Timers expiries;
     Timers primaryAllowedTimers;
