--- a/include/sapphirespool/Decisions/retrybudget.h
+++ b/include/sapphirespool/Decisions/retrybudget.h
@@ -1,4 +1,4 @@
-// retrybudget.h: limits the retries that a service adds to its own load, and spreads them.
+// retrybudget.h: retry budget of a service and randomized exponential backoff.
 #pragma once
 
 #include <chrono>
@@ -7,25 +7,26 @@
 namespace sapphirespool::decisions
 {
 
-/// Token bucket that ties retries to first attempts.
+/// Token bucket that limits retries to a fraction of first attempts.
 ///
-/// Load pattern: an upstream slows down, each attempt times out and is sent again.
-/// Without it the retries double the load of an upstream that is already late, and it does not recover.
+/// Load pattern: an upstream slows down, each attempt times out and is retried.
+/// Without the budget the retries double the load of an upstream that is already overloaded, and it does not recover.
 class RetryBudget
 {
 public:
-    /// Retries that a quiet service may make without having earned them, and the most that it can save up: ten is the burst
-    /// of one lost connection pool.
+    /// Initial tokens and capacity of the bucket: a service without recent traffic may retry this often. Ten covers the burst of
+    /// retries after the loss of one connection pool.
     static constexpr double reserve = 10;
 
-    /// \param ratio retries earned by one first attempt, 0 to 1
+    /// \param ratio tokens added by each first attempt, 0 to 1
     explicit RetryBudget(double ratio);
 
     auto setRatio(double ratio) -> void;
 
     auto recordFirstAttempt() -> void;
 
-    /// \return false if the budget is spent; the caller then gets the first error
+    /// Takes one token for a retry.
+    /// \return false if the budget is exhausted; the caller then receives the error of the first attempt
     [[nodiscard]] auto trySpend() -> bool;
 
 private:
@@ -33,10 +34,10 @@
     double tokens = reserve;
 };
 
-/// Full jitter: a uniform part of an exponentially growing bound.
+/// Exponential backoff with full jitter: a uniformly distributed delay below an exponentially growing bound.
 ///
 /// Load pattern: an upstream drops a hundred statements in the same millisecond.
-/// Without the jitter all of them return in the same millisecond, again and again.
+/// Without the jitter all of them are retried in the same millisecond, again and again.
 /// \param attempt number of the retry, from 1
 /// \param random uniform in [0, 1)
 /// \return time to wait before the retry
--- a/include/sapphirespool/Decisions/returnbook.h
+++ b/include/sapphirespool/Decisions/returnbook.h
@@ -1,4 +1,4 @@
-// returnbook.h: keeps the times at which refused callers were told to come back.
+// returnbook.h: retry reservations of refused callers.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -11,28 +11,31 @@
 namespace sapphirespool::decisions
 {
 
-/// Appointments of refused callers.
+/// Assigns each refused caller a time for its retry, and recognizes the retry when it arrives.
 ///
-/// Load pattern: three times as much work arrives as can be served, so two thirds are refused and told when to come back.
-/// Without the book all of them are told the same time, arrive together and are refused again: the time was not true.
-/// Each refusal gets the next place of a line that moves at the group's own rate. New work gives way to places that are due.
+/// Load pattern: three times as much work arrives as can be served, so two thirds are refused with a retry time.
+/// Without reservations all refused callers receive the same time, retry together and are refused again although they followed it.
+/// Each refusal reserves the next time of a schedule that advances at the group's service rate. Admission of new work leaves room for
+/// reservations that are due.
 class ReturnBook
 {
 public:
-    /// \param longest latest appointment, from now \param grace how long after its time a place is kept
+    /// \param longest maximum time from now to a reservation
+    /// \param grace time after which an unused reservation expires
     ReturnBook(Duration longest, Duration grace);
 
-    /// Gives \p caller the next place, not before \p earliest; each place takes \p spacing.
+    /// Reserves the next time for \p caller, not before \p earliest and at least \p spacing after the last reservation.
+    /// \return when to retry; without a reservation if that is the maximum time from now
     auto promise(const CallerId &caller, TimePoint earliest, Duration spacing, TimePoint now) -> TimePoint;
 
-    /// Takes the caller's place if its time has come.
+    /// Uses the caller's first reservation if it is due.
     /// \return whether there was one
     auto redeem(const CallerId &caller, TimePoint now) -> bool;
 
-    /// \return places that are due up to \p until and not yet taken
+    /// \return number of reservations that are due by \p until, including used ones that are listed behind an unused one
     [[nodiscard]] auto due(TimePoint until) const -> std::size_t;
 
-    /// Drops places that nobody took in time.
+    /// Drops reservations whose grace time has passed.
     auto expire(TimePoint now) -> void;
 
 private:
@@ -46,7 +49,7 @@
     Duration longest;
     Duration grace;
     TimePoint lineEnd{};
-    /// Ascending by time.
+    /// In ascending order of time.
     std::deque<Place> places;
     std::unordered_map<CallerId, std::deque<TimePoint>> byCaller;
 };
--- a/include/sapphirespool/Decisions/serviceestimate.h
+++ b/include/sapphirespool/Decisions/serviceestimate.h
@@ -1,4 +1,4 @@
-// serviceestimate.h: learns how long statements take.
+// serviceestimate.h: moving estimate of service times.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -10,22 +10,23 @@
 
 /// Moving mean and mean deviation of measured service times.
 ///
-/// The weights of a new value are by default those that TCP uses for its round trip time (1/8 and 1/4): a change of level is
-/// followed within about eight answers, and a single long statement moves the mean by an eighth.
+/// By default a new value has the weights that TCP uses for its round trip time (1/8 for the mean and 1/4 for the deviation): the
+/// estimate follows a change of level within about eight answers, and a single long statement moves the mean by an eighth of the
+/// difference.
 class ServiceEstimate
 {
 public:
     static constexpr double defaultWeight = 1.0 / 8;
 
-    /// \param weight part of a new value in the mean; the deviation moves twice as fast
+    /// \param weight weight of a new value in the mean; its weight in the deviation is twice as large
     explicit ServiceEstimate(double weight = defaultWeight);
 
     auto record(Duration measured) -> void;
 
-    /// \return the mean, or a guess of 5 ms as long as nothing was measured
+    /// \return the mean, or a default of 5 ms until the first value is recorded
     [[nodiscard]] auto mean() const -> Duration;
 
-    /// \return a time that few statements exceed: the mean and four mean deviations
+    /// \return a time that few statements exceed: the mean plus four mean deviations
     [[nodiscard]] auto high() const -> Duration;
 
     [[nodiscard]] auto samples() const -> std::uint32_t;
--- a/include/sapphirespool/Decisions/settings.h
+++ b/include/sapphirespool/Decisions/settings.h
@@ -1,4 +1,4 @@
-// settings.h: the figures of the decisions under load, each with its grounds, and a switch to take each module out.
+// settings.h: parameters of the dispatcher's modules, and a switch to disable each module.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -9,139 +9,141 @@
 namespace sapphirespool::decisions
 {
 
-/// In what order callers' waiting work is served.
+/// Order in which the waiting work of callers is served.
 enum class QueueDiscipline {
     /// Order of arrival.
     Fifo,
-    /// Start-time fair queueing over callers, charged by measured service time.
+    /// Start-time fair queueing across callers; each is charged its measured service time.
     FairQueueing,
-    /// Callers in levels of attained service with exponentially spaced thresholds.
+    /// Least attained service: callers are in levels of attained service with exponentially spaced thresholds.
     LeastAttained,
-    /// The same with thresholds that are multiples of what the mean caller attained; order of arrival within a level.
+    /// As LeastAttained, with thresholds that are multiples of the mean attained service of callers; order of arrival within a level.
     RelativeAttained,
 };
 
-/// Order of waiting work.
+/// Parameters of the queue of waiting work.
 struct QueueSettings
 {
     QueueDiscipline discipline = QueueDiscipline::RelativeAttained;
-    /// Attained service above which a caller leaves the first level: about ten short statements of 5 ms.
+    /// Attained service above which a caller leaves the first level: about ten short statements of 5 ms each.
     std::chrono::milliseconds firstThreshold{50};
-    /// Each further threshold is this many times the one before; the paper on bottleneck-aware coflows uses ten.
+    /// Ratio of each further threshold to the previous one; ten as in the paper on bottleneck-aware coflows.
     std::uint32_t thresholdFactor = 10;
-    /// Levels; three thresholds of factor ten span 50 ms to 5 s, above any timeout in use.
+    /// Number of levels; three thresholds with a factor of ten span 50 ms to 5 s, which is above any timeout in use.
     std::uint32_t levels = 4;
-    /// Attained service halves in this time, so that a caller with a busy past is not slow for ever.
+    /// Half-life of attained service, so that a caller is not deprioritized forever for past work.
     std::chrono::milliseconds attainedHalfLife{1000};
 };
 
-/// What may wait, and what is refused at once.
+/// Admission: which work may wait and which is refused on arrival.
 struct AdmissionSettings
 {
-    /// Off: only the length bounds the queue, and work is dropped at its deadline.
+    /// If false, only the queue limit bounds the queue, and work is dropped at its deadline.
     bool enabled = true;
-    /// Part of the time allowed that may pass in the queue as it is estimated. The rest covers the spread of service times
-    /// and errors of the estimate: beside a caller at 100 times the others 0.6 kept 97.4 % of what was accepted, 0.4 keeps 99.1 %.
+    /// Fraction of the time until the deadline that the estimated wait may take. The rest covers the variance of service times and
+    /// errors of the estimate: with one caller at 100 times the rate of the others, 99.1 % of accepted work meets its deadline at
+    /// 0.4, and 97.4 % at 0.6.
     double waitFraction = 0.4;
-    /// The same for a caller that returns when it was told to; more, so that it finds room in a queue that new work has filled.
+    /// The same for a caller that retries at its reserved time; larger, so that a queue filled by new work still has room for it.
     double returnFraction = 0.5;
-    /// Part of the wait allowed that new work may fill although returns were promised.
+    /// Fraction of the allowed wait that new work may fill regardless of retry reservations.
     double unreservedFraction = 0.7;
-    /// Promised returns are never further away than this; clients keep no appointment for longer.
+    /// Maximum delay of a retry reservation; clients do not wait longer to retry.
     std::chrono::milliseconds longestRetryAfter{30'000};
-    /// Time that a promotion is expected to take while a group has no primary.
+    /// Expected time without a primary until a replica is promoted.
     std::chrono::milliseconds expectedGap{1000};
-    /// A return this much later than promised has lost its place.
+    /// A retry reservation expires this long after its time.
     std::chrono::milliseconds returnGrace{500};
 };
 
-/// Where reads go.
+/// Routing of reads.
 struct RoutingSettings
 {
-    /// Off: replicas in turn, the primary when none is fresh enough.
+    /// If false, reads go to the replicas round-robin, and to the primary when no replica is fresh enough.
     bool enabled = true;
-    /// Part of the time allowed that a read waits for a replica before the primary may take it. Smaller values cost replica share,
-    /// larger ones cost deadlines.
+    /// Fraction of the time until the deadline that a read waits for a replica before the primary may serve it. Smaller values send
+    /// fewer reads to replicas, larger ones make reads miss their deadlines.
     double replicaPatience = 0.25;
-    /// Bound of that wait, whatever time is allowed.
+    /// Upper bound of that wait, regardless of the deadline.
     std::chrono::milliseconds longestPatience{100};
-    /// Assumed one-way latency to another zone, until service times tell; the deployments have 1 and 1.5 ms.
+    /// Assumed one-way latency to another availability zone, until service times are measured; 1 and 1.5 ms in the deployments.
     std::chrono::microseconds otherZone{1500};
 };
 
-/// Ejection of an upstream that is slow or fails.
+/// Ejection of upstreams that are slow or fail.
 struct EjectionSettings
 {
     bool enabled = true;
-    /// Times the median of its peers; twice is within the noise of short samples.
+    /// Ratio to the median service time of its peers from which an upstream is ejected; a ratio of two is within the noise of short
+    /// samples.
     double slowFactor = 4.0;
-    /// Answers before an upstream is judged.
+    /// Answers required before an upstream can be ejected as slow.
     std::uint32_t minimumSamples = 10;
-    /// Failures in a row; at five, chance alone at an error rate of 20 % ejects one in 3,000.
+    /// Consecutive failures until ejection; with five, independent errors at a rate of 20 % eject an upstream once in 3,000 (0.2^5).
     std::uint32_t consecutiveFailures = 5;
-    /// First time out; doubles up to the longest.
+    /// Duration of the first ejection; doubles up to the longest with each further one.
     std::chrono::milliseconds firstEjection{1000};
     std::chrono::milliseconds longestEjection{30'000};
 };
 
-/// Slow start of an upstream that is new, promoted, restarted or back from ejection.
+/// Slow start of an upstream that is new, promoted, restarted or readmitted after an ejection.
 struct SlowStartSettings
 {
     bool enabled = true;
-    /// Time from one slot to the whole share.
+    /// Time over which the usable slots ramp up from one to the whole share.
     std::chrono::milliseconds duration{500};
 };
 
-/// Limit of concurrent work for each upstream below its share.
+/// Adaptive limit of concurrent work for each upstream, at most its share.
 struct ConcurrencySettings
 {
     bool enabled = true;
-    /// Factor on an upstream's refusal or failure.
+    /// Factor by which the limit is reduced when the upstream refuses or fails.
     double decrease = 0.7;
 };
 
-/// Limits that keep some work from taking all slots.
+/// Limits that keep one kind of work from occupying all slots.
 struct BulkheadSettings
 {
     bool enabled = true;
-    /// Part of the group's slots that callers with long statements may hold while others wait.
+    /// Fraction of the group's slots that callers with long statements may occupy while others wait.
     double longFraction = 0.5;
-    /// Times the group's mean service time from which a caller counts as long.
+    /// Ratio to the group's mean service time above which a caller's statements count as long.
     double longFactor = 4.0;
-    /// Times the mean use of active callers from which a caller leaves one slot of each upstream free for the others.
+    /// Ratio to the mean use of active callers above which a caller leaves one slot of each upstream free for the others.
     double hotFactor = 3.0;
-    /// Writes on one key that run at a time; more of them would hold slots and wait for the row's lock.
+    /// Concurrent writes on one key; more of them would occupy slots while they wait for the row lock.
     std::uint32_t writesPerKey = 1;
 };
 
-/// Early refusal of a service whose dependency refuses.
+/// Early refusal of a service's requests while a service that it depends on refuses its own.
 struct DependencySettings
 {
     bool enabled = true;
-    /// Part of a dependency's requests refused from which the services above it are refused early.
+    /// Fraction of refused requests of a dependency from which the services that depend on it are refused early.
     double refusedFraction = 0.5;
-    /// Requests in the window before it is judged.
+    /// Requests required in the window before the fraction is evaluated.
     std::uint32_t minimumRequests = 20;
     std::chrono::milliseconds window{1000};
-    /// One in so many requests passes, so that recovery is seen.
+    /// One in this many requests is admitted as a probe, which detects the recovery.
     std::uint32_t probeEvery = 10;
 };
 
-/// Order in which reads give way on the primary.
+/// Brownout: load shedding of reads on the primary, in steps.
 struct BrownoutSettings
 {
     bool enabled = true;
-    /// Wait of writes on the primary from which reads give way.
+    /// Queueing delay of writes on the primary from which reads are shed.
     std::chrono::milliseconds enterDelay{100};
-    /// Wait below which they come back; half, so that the return does not at once cause the next step.
+    /// Queueing delay below which reads are admitted again; half, so that their load does not trigger the next step at once.
     std::chrono::milliseconds leaveDelay{50};
-    /// Time between two steps up.
+    /// Minimum time between two steps up.
     std::chrono::milliseconds enterStep{100};
-    /// Time between two steps down; ten times longer, so that recovery does not swing.
+    /// Minimum time between two steps down; ten times as long, so that the level does not oscillate during recovery.
     std::chrono::milliseconds leaveStep{1000};
 };
 
-/// Everything that a dispatcher is told once.
+/// Settings of a dispatcher, fixed for its lifetime.
 struct DispatcherSettings
 {
     VmId vm;
@@ -156,13 +158,13 @@
     DependencySettings dependency;
     BrownoutSettings brownout;
     bool retryBudget = true;
-    /// Writes before reads that accept age, by weight.
+    /// Serves writes before reads that accept stale data, by weight.
     bool classWeights = true;
-    /// Without a share from the allocator: an equal part of each upstream, at least one slot. False: nothing until the first grant.
+    /// Until the allocator assigns a share: if true, use an equal part of each upstream, at least one slot; if false, use nothing.
     bool staticShares = true;
 };
 
-/// \return settings with every module taken out: order of arrival, bounded length, deadlines
+/// \return settings with every module disabled: service in order of arrival, with queue limits and deadlines only
 [[nodiscard]] auto fifoSettings() -> DispatcherSettings;
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/shareallocator.h
+++ b/include/sapphirespool/Decisions/shareallocator.h
@@ -1,8 +1,8 @@
 // shareallocator.h: divides an upstream's slots and connections among the proxies.
 //
-// Two proxies, chosen by rendezvous hash, each grant half of an upstream; every other proxy asks both. A grant is bounded in time.
-// The sum of what holders may use never exceeds the upstream's limit, whatever message is lost, late or doubled, and whichever
-// process dies or restarts.
+// Two proxies, chosen by rendezvous hash, each grant half of an upstream's limit as leases; every other proxy sends its demand to
+// both. The sum of what holders may use never exceeds the upstream's limit, whatever message is lost, delayed or duplicated, and
+// whichever process crashes or restarts.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -19,7 +19,7 @@
 namespace sapphirespool::decisions
 {
 
-/// One process that grants; a restarted one is another.
+/// Identifies one granting process; a restarted process is a different grantor.
 struct GrantorId
 {
     VmId vm;
@@ -28,84 +28,88 @@
     auto operator<=>(const GrantorId &) const = default;
 };
 
-/// What a proxy asks of a grantor; also its return of what it no longer needs, and its renewal.
+/// Message from a proxy to a grantor that requests slots, returns those no longer needed and renews the rest.
 struct ShareDemand
 {
     UpstreamId upstream;
-    /// A demand to an earlier process says nothing to a later one: its answer may still be under way.
+    /// Addressee. A later process ignores demands to an earlier one, whose answer may still be in flight.
     GrantorId grantor;
     VmId proxy;
     Incarnation incarnation;
-    /// Rises with each demand. Grants that answer an earlier one are void.
+    /// Increases with each demand. The proxy ignores grants that answer an earlier one.
     std::uint64_t sequence = 0;
-    /// What the proxy goes on using; the rest of earlier grants is returned by this message.
+    /// What the proxy continues to use; this message returns the rest of earlier grants.
     Share keeps;
-    /// Slots that its work could use now.
+    /// Slots that the proxy's work could use now.
     std::uint32_t wanted = 0;
 };
 
-/// What a grantor gives; replaces all it gave before.
+/// Message from a grantor to a proxy with the proxy's share; replaces all earlier grants to it.
 struct ShareGrant
 {
     UpstreamId upstream;
     GrantorId grantor;
     VmId proxy;
     Incarnation incarnation;
-    /// Sequence of the demand that it answers.
+    /// Sequence of the demand that this grant answers.
     std::uint64_t sequence = 0;
-    /// Rises with each grant to the same demand.
+    /// Increases with each grant that answers the same demand.
     std::uint64_t number = 0;
     Share share;
 };
 
-/// Times of the allocator; the same in all proxies.
+/// Timing of the allocator; the same in all proxies.
 struct ShareSettings
 {
-    /// Life of a grant. It covers the longest statement and some lost renewals; a dead proxy's share returns after it.
+    /// Lifetime of a grant. It covers the longest statement and some lost renewals; the share of a crashed proxy is available again
+    /// after it.
     std::chrono::milliseconds life{5000};
-    /// No statement starts under a grant that has less than this to live; at least the longest timeout of a service, so that
+    /// No statement starts under a grant with less than this time to its expiry; at least the longest timeout of a service, so that
     /// no statement outlives its grant.
     std::chrono::milliseconds startGuard{2500};
-    /// Part of the life that is given up for clocks that run at different rates.
+    /// Fraction of the lifetime that a holder gives up, as clocks run at different rates.
     double clockMargin = 0.02;
-    /// Time between renewals; five of them may be lost before the guard ends new work.
+    /// Renewal interval; five renewals may be lost before startGuard stops new work.
     std::chrono::milliseconds renewal{400};
-    /// A slot goes to the next proxy after this time if others wait. Shorter costs handovers, longer costs waiting.
+    /// Time after which a slot is recalled if other proxies wait for one. Shorter values move slots more often, longer ones make proxies
+    /// wait longer.
     std::chrono::milliseconds quantum{20};
-    /// A slot that has no work is returned after this time.
+    /// Time after which a holder returns a slot without work.
     std::chrono::milliseconds linger{5};
-    /// Time for which a new grantor grants nothing: the life, and the time for which a grantor that was cut off may go on
-    /// under an old view.
+    /// Time for which a new grantor grants nothing: the lifetime of a grant, plus the time for which a partitioned grantor may continue
+    /// to grant under an outdated view.
     std::chrono::milliseconds handover{8000};
 };
 
-/// Gives out one part of one upstream.
+/// Grants one grantor's part of an upstream's limit to the proxies.
 ///
-/// Load pattern: 12 proxies share 2 to 5 slots; work arrives now here, now there.
-/// Without it each proxy has a fixed part, less than one slot: either slots idle beside waiting work, or all run together and
-/// the upstream is over its limit.
-/// Why the sum holds: what a proxy may be using is counted as the most that any grant it can still accept gave it, until it
-/// says in a newer demand that it keeps less, or until the grant has run out by this clock. The holder counts the same life from the
-/// moment it sent the demand, which is earlier.
+/// Load pattern: 12 proxies share 2 to 5 slots, and the proxies that receive work change all the time.
+/// Without it each proxy has a static part of less than one slot: either slots are idle while work waits at another proxy, or all
+/// proxies use one slot and the upstream exceeds its limit.
+/// Invariant: the sum of what proxies may use is within the limit. A proxy is charged the maximum of all grants that it can still
+/// accept, until it reports in a newer demand that it keeps less, or until the grant expires by the grantor's clock. The holder's
+/// lease expires earlier, since it counts the lifetime from the time at which it sent the demand.
 class ShareGrantor
 {
 public:
     using Grants = std::vector<ShareGrant>;
 
-    /// Grants nothing before limitChanged() was called, and nothing for the handover time: grants of an earlier process or of another
-    /// grantor may still live.
+    /// Grants nothing until limitChanged() is called and the handover time has passed: grants of an earlier process or of another
+    /// grantor may not have expired yet.
     ShareGrantor(GrantorId self, UpstreamId upstream, ShareSettings settings, TimePoint now);
 
+    /// Handles a demand of a proxy.
+    /// \return grants to send
     auto demanded(const ShareDemand &demand, TimePoint now) -> Grants;
 
-    /// Sets the part that is given out and the proxies that may ask. The handover is over early, for the smaller half, once each of them
-    /// has told what it keeps and the work of its former processes must have ended.
-    /// \param early the smaller half of the whole
+    /// Sets the part that this grantor grants and the proxies that may send demands. The smaller half is granted before the end of the
+    /// handover, once each proxy has reported what it keeps and the work of its earlier processes must have ended.
+    /// \param early the smaller half of the upstream's limit
     auto limitChanged(Share part, Share early, std::vector<VmId> proxies, TimePoint now) -> Grants;
     auto tick(TimePoint now) -> Grants;
     [[nodiscard]] auto nextTick() const -> std::optional<TimePoint>;
 
-    /// \return the most that all holders together may be using
+    /// \return upper bound of what all holders together use
     [[nodiscard]] auto outstanding(TimePoint now) const -> Share;
 
 private:
@@ -114,14 +118,14 @@
         std::uint64_t sequence = 0;
         std::uint64_t number = 0;
         std::uint32_t wanted = 0;
-        /// What was last granted.
+        /// Share of the last grant.
         Share granted;
-        /// The most that it may be using.
+        /// Upper bound of what the holder uses.
         Share possible;
         TimePoint expiry{};
-        /// When its first demand came.
+        /// When its first demand arrived.
         TimePoint heardAt{};
-        /// Since when it waits for more, and since when it has what it has.
+        /// Since when it waits for more slots, and since when its granted slots are unchanged.
         TimePoint waitingSince{};
         TimePoint grantedSince{};
     };
@@ -146,34 +150,38 @@
     Share early;
     std::vector<VmId> proxies;
     ShareSettings settings;
-    /// From when the whole part is given out.
+    /// End of the handover; the whole part is granted from then on.
     TimePoint openFrom;
     std::map<HolderKey, Holder> holders;
 };
 
-/// Holds this proxy's part of one upstream from one grantor.
+/// Holds this proxy's lease on slots and connections of one upstream from one grantor.
+///
+/// Sends demands when its work changes, renews the lease, and returns slots that have no work.
 class ShareHolder
 {
 public:
     ShareHolder(VmId self, Incarnation incarnation, UpstreamId upstream, GrantorId grantor, ShareSettings settings);
 
-    /// Tells how much work runs under this share and how much could.
-    /// \return a demand to send, if something is to be said now
+    /// Sets how many statements run under this share and how many slots could be used.
+    /// \return a demand to send, if the grantor has to be notified now
     auto workChanged(std::uint32_t running, std::uint32_t wanted, TimePoint now) -> std::optional<ShareDemand>;
 
+    /// Handles a grant; ignores one to another process or one that answers an earlier demand.
+    /// \return a demand to send, if the grantor has to be notified now
     auto granted(const ShareGrant &grant, TimePoint now) -> std::optional<ShareDemand>;
     auto tick(TimePoint now) -> std::optional<ShareDemand>;
     [[nodiscard]] auto nextTick(TimePoint now) const -> TimePoint;
 
-    /// \return what may be used for work that starts at \p now
+    /// \return the share for work that starts at \p now
     [[nodiscard]] auto share(TimePoint now) const -> Share;
 
     [[nodiscard]] auto grantorId() const -> const GrantorId &;
 
-    /// \return slots that the grantor was told are kept
+    /// \return slots that this holder reported to the grantor as kept
     [[nodiscard]] auto kept() const -> std::uint32_t;
 
-    /// Takes over what a former grantor gave; it is used on until this one's grantor answers.
+    /// Takes over the share of an earlier grantor, which stays in use until the new grantor answers or the lease expires.
     auto inherit(const ShareHolder &former) -> void;
 
 private:
@@ -188,7 +196,7 @@
     std::uint64_t sequence = 0;
     std::uint64_t number = 0;
     Share held;
-    /// Slots that were told to the grantor as kept.
+    /// Values that the grantor holds from the last demand.
     std::uint32_t toldKeeps = 0;
     std::uint32_t toldWanted = 0;
     std::uint32_t running = 0;
@@ -198,15 +206,15 @@
     std::optional<TimePoint> surplusSince;
 };
 
-/// Grantors of an upstream, in order; each has its part of the limit.
+/// Number of grantors of an upstream, each of which grants its part of the limit.
 ///
-/// With two, the death of one leaves half of the upstream usable while the other's part waits out the handover.
+/// With two, half of the upstream stays usable after a crash of one, while the other half waits for the end of the handover.
 constexpr std::size_t grantorsPerUpstream = 2;
 
-/// \return the proxies that grant \p upstream, at most grantorsPerUpstream, by highest rendezvous hash
+/// \return the grantors of \p upstream: up to grantorsPerUpstream proxies in descending order of rendezvous hash, except leaving ones
 [[nodiscard]] auto grantorsOf(const UpstreamId &upstream, std::span<const membership::ProxyView> proxies) -> std::vector<GrantorId>;
 
-/// \return the part of \p limit that the grantor at \p index of \p count gives out; the parts add up to the limit
+/// \return the part of \p limit that the grantor at \p index of \p count grants; the parts add up to the limit
 [[nodiscard]] auto partOf(Share limit, std::size_t index, std::size_t count) -> Share;
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/sharetable.h
+++ b/include/sapphirespool/Decisions/sharetable.h
@@ -1,4 +1,4 @@
-// sharetable.h: everything that one proxy does for the sharing of upstreams: its own shares, and the grants that it gives.
+// sharetable.h: the holders and grantors of upstream shares in one proxy.
 #pragma once
 
 #include "sapphirespool/Decisions/shareallocator.h"
@@ -13,37 +13,37 @@
 namespace sapphirespool::decisions
 {
 
-/// Message to another proxy; a lost one is made good by the next renewal.
+/// Message to another proxy. The next renewal compensates for a lost one.
 struct ShareMessage
 {
     VmId to;
     std::variant<ShareDemand, ShareGrant> content;
 };
 
-/// This proxy's share of an upstream has changed.
+/// Notification that this proxy's share of an upstream changed.
 struct ShareChange
 {
     UpstreamId upstream;
     Share share;
 };
 
-/// What to send and what to tell the dispatcher.
+/// Messages to send to other proxies, and share changes for the dispatcher.
 struct ShareActions
 {
     std::vector<ShareMessage> messages;
     std::vector<ShareChange> changes;
 };
 
-/// Holders and grantors of one proxy; all calls on the dispatch thread.
+/// Holders and grantors of one proxy, by upstream; all calls on the dispatch thread.
 class ShareTable
 {
 public:
     ShareTable(VmId self, Incarnation incarnation, ShareSettings settings);
 
-    /// Chooses the grantors anew. Work keeps running under what an earlier grantor gave until a new one answers or it runs out.
+    /// Selects the grantors of each upstream. Shares from an earlier grantor stay usable until a new grantor answers or they expire.
     auto viewChanged(const membership::ClusterView &view, TimePoint now) -> ShareActions;
 
-    /// Tells how many slots of \p upstream are in use and how many could be.
+    /// Sets how many slots of \p upstream are in use and how many could be used.
     auto workChanged(const UpstreamId &upstream, std::uint32_t running, std::uint32_t wanted, TimePoint now) -> ShareActions;
 
     auto receive(const ShareDemand &demand, TimePoint now) -> ShareActions;
@@ -51,7 +51,7 @@
     auto tick(TimePoint now) -> ShareActions;
     [[nodiscard]] auto nextTick(TimePoint now) const -> std::optional<TimePoint>;
 
-    /// \return what may be used of \p upstream for work that starts at \p now
+    /// \return this proxy's share of \p upstream for work that starts at \p now
     [[nodiscard]] auto share(const UpstreamId &upstream, TimePoint now) const -> Share;
 
 private:
--- a/include/sapphirespool/Decisions/statementqueue.h
+++ b/include/sapphirespool/Decisions/statementqueue.h
@@ -1,4 +1,4 @@
-// statementqueue.h: the order in which statements that wait for one upstream are served.
+// statementqueue.h: priority queue of the statements that wait for one upstream.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -12,63 +12,64 @@
 namespace sapphirespool::decisions
 {
 
-/// A statement that waits.
+/// A waiting statement.
 struct QueuedStatement
 {
-    /// As its service says; 0 is served first.
+    /// Priority of its service; 0 is served first.
     std::uint32_t priority = 0;
-    /// When its caller wants the answer.
+    /// When the answer is due by the objective of its service.
     TimePoint due{};
-    /// Whether it takes one of the upstream's slots; what takes none may be served while all are taken.
+    /// Whether it occupies one of the upstream's slots; one that does not may be served while all are occupied.
     bool takesSlot = true;
 };
 
-/// Serves what can still be in time: by priority, then by the time when the answer is wanted (earliest deadline first). What can no longer
-/// be in time goes behind all that can.
+/// Orders statements by priority, then by due time (earliest deadline first). Statements that can no longer be in time are served after
+/// all that can.
 ///
-/// Load pattern: an upstream gets more work for seconds than it can do: its replicas lag and it serves their reads too, a burst, or the
-/// return of everybody after an outage. In the upstream's own queue, and in order of arrival, each statement waits behind
-/// the whole backlog: bookings of 10 ms behind reads of 50, and all of them come late by the same time, so that nobody is served in
-/// time although most could be. In this order the short objectives and the urgent services are kept, and the overload is borne by those
-/// who are late already, in what capacity is left. Plain earliest-deadline order fails under overload, since it prefers those who will miss
-/// their time anyhow; the step behind the others prevents that.
+/// Load pattern: for seconds an upstream receives more work than it can serve: its replicas lag and it serves their reads too, a burst
+/// arrives, or all callers retry after an outage. In the upstream's own queue, or in order of arrival, each statement waits behind the
+/// whole backlog: bookings of 10 ms wait behind reads of 50 ms, and all are late by the same time, so that none meets its objective
+/// although most could. This order keeps the objectives of short-objective and high-priority services; statements that are already late
+/// bear the overload and get the remaining capacity. Plain earliest-deadline order fails under overload, since it prefers statements that
+/// miss their objective anyway; serving late statements last prevents that.
 class StatementQueue
 {
 public:
     using Ticket = std::uint64_t;
 
-    /// Part of the objective that a statement may be expected to wait when it comes; who would wait longer is refused at once and told when to
-    /// come back. The rest of the objective is for its work, its ways, and those who come later and go first. Admitted without it, in an
-    /// overload of seconds each waits for just its objective, and is then late or refused: nobody has a fast answer, a yes as little as a no.
+    /// A statement is refused on arrival, with a retry time, if its expected wait exceeds its objective divided by this. The rest of the
+    /// objective covers its service time, its round trip, and statements that arrive later and are served first. Without this limit each
+    /// statement in an overload of seconds waits for all of its objective and is then late or refused: no caller receives a fast answer,
+    /// be it a result or a refusal.
     static constexpr auto waitPart = 2;
 
-    /// Statements that may wait for one upstream. Some hundred statements of tens of milliseconds on a handful of slots are seconds of
-    /// work: who would wait behind them is better served elsewhere.
+    /// Maximum number of waiting statements for one upstream. About a hundred statements of tens of milliseconds each on a handful of
+    /// slots are seconds of work: a further statement is better served by another upstream.
     static constexpr auto limit = std::size_t{128};
 
     [[nodiscard]] auto push(const QueuedStatement &statement) -> Ticket;
 
     auto erase(Ticket ticket) -> void;
 
-    /// Takes out the statement that is served next.
-    /// \param serviceTime usual time of a statement at the upstream
-    /// \param slotFree whether one that takes a slot may be served
+    /// Removes and returns the statement to serve next.
+    /// \param serviceTime expected service time of a statement at the upstream
+    /// \param slotFree whether a statement that takes a slot may be served
     [[nodiscard]] auto pop(TimePoint now, Duration serviceTime, bool slotFree) -> std::optional<Ticket>;
 
-    /// \return how many of the waiting statements go before \p statement, if it came now
+    /// \return number of waiting statements that are served before \p statement if it arrives now
     [[nodiscard]] auto ahead(const QueuedStatement &statement, TimePoint now, Duration serviceTime) const -> std::size_t;
 
-    /// \param servers statements that are under way at a time
-    /// \return how long \p statement would wait if it came now and nobody who comes later went first
+    /// \param servers number of statements that the upstream serves concurrently
+    /// \return expected wait of \p statement if it arrives now and no later arrival is served before it
     [[nodiscard]] auto expectedWait(const QueuedStatement &statement, TimePoint now, Duration serviceTime, std::size_t servers) const -> Duration;
 
-    /// \return whether a statement that is expected to wait for \p wait had better be refused
+    /// \return whether to refuse \p statement, whose expected wait is \p wait
     [[nodiscard]] auto isFullFor(const QueuedStatement &statement, TimePoint now, Duration wait) const -> bool;
 
     [[nodiscard]] auto size() const -> std::size_t;
 
 private:
-    /// By arrival.
+    /// In order of arrival.
     std::map<Ticket, QueuedStatement> waiting;
     Ticket last = 0;
 };
--- a/lib/Decisions/retrybudget.cpp
+++ b/lib/Decisions/retrybudget.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-/// Bound of the first wait: a few statements' time, so that a slot may have come free.
+/// Upper bound of the first delay: the time of a few statements, after which a slot may be available.
 constexpr auto firstBound = std::chrono::microseconds(20'000);
-/// Bound of all waits; beyond it a caller is better served by an answer with Retry-After.
+/// Upper bound of all delays; instead of a longer delay the caller receives an answer with Retry-After.
 constexpr auto longestBound = std::chrono::microseconds(1'000'000);
 constexpr std::uint32_t mostDoublings = 10;
 
@@ -43,8 +43,8 @@
 
 auto retryDelay(std::uint32_t attempt, double random) -> std::chrono::microseconds
 {
-    assert(attempt >= 1 && "the first attempt does not wait");
-    assert(random >= 0 && random < 1 && "a random number in [0, 1)");
+    assert(attempt >= 1 && "retries are numbered from 1");
+    assert(random >= 0 && random < 1 && "random is in [0, 1)");
     const auto doublings = std::min(attempt - 1, mostDoublings);
     const auto bound = std::min(firstBound * (1 << doublings), longestBound);
     return std::chrono::microseconds(static_cast<std::int64_t>(static_cast<double>(bound.count()) * random));
--- a/lib/Decisions/returnbook.cpp
+++ b/lib/Decisions/returnbook.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// Clients round the time down or their clock runs a little fast; so much too early still counts as on time.
+/// A retry may arrive this much too early, as clients round the delay down or have a clock that runs fast.
 constexpr auto earlyBy = std::chrono::milliseconds(2);
 
 } // namespace
@@ -24,7 +24,7 @@
     this->expire(now);
     const auto at = std::max(earliest, this->lineEnd + spacing);
     if (at > now + this->longest) {
-        // The line is full. The caller is sent to its end and keeps no place.
+        // The schedule is full. The caller receives the maximum delay and no reservation.
         return now + this->longest;
     }
     this->lineEnd = at;
--- a/lib/Decisions/sharegrantor.cpp
+++ b/lib/Decisions/sharegrantor.cpp
@@ -38,7 +38,8 @@
     if (now >= this->openFrom) {
         return this->part;
     }
-    // The other grantor may still have out the larger half, which it had before; so until then only the smaller is given out.
+    // The other grantor may have granted the larger half before, and its grants may not have expired, so until the end of the handover
+    // only the smaller half is granted.
     return this->closed(now) ? Share() : this->early;
 }
 
@@ -73,15 +74,15 @@
 
 auto ShareGrantor::closed(TimePoint now) const -> bool
 {
-    // Once each proxy has said what it keeps, only statements of processes that have ended are unknown, and none runs longer than
-    // the guard.
+    // Once each proxy has reported what it keeps, only statements of terminated processes are unknown, and none of them runs longer
+    // than startGuard.
     const auto heard = this->allHeardAt();
     return now < this->openFrom && (!heard || now < *heard + this->settings.startGuard);
 }
 
 auto ShareGrantor::demanded(const ShareDemand &demand, TimePoint now) -> Grants
 {
-    assert(demand.upstream == this->upstream && "a demand for this upstream");
+    assert(demand.upstream == this->upstream && "the demand is for this grantor's upstream");
     this->expire(now);
     if (demand.grantor != this->self) {
         return {};
@@ -89,7 +90,7 @@
     const auto key = HolderKey(demand.proxy, demand.incarnation);
     auto &holder = this->holders[key];
     if (demand.sequence <= holder.sequence) {
-        // Late or doubled. Acting on it could count as returned what a newer demand keeps.
+        // Delayed or duplicated. Handling it could count slots as returned that a newer demand keeps.
         return {};
     }
     if (holder.sequence == 0) {
@@ -97,7 +98,7 @@
     }
     const auto handover = now < this->openFrom;
     if (handover) {
-        // It may keep what another grantor or an earlier process gave it.
+        // The proxy may keep what another grantor or an earlier process granted.
         holder.possible = demand.keeps;
         holder.granted = demand.keeps;
     }
@@ -113,7 +114,7 @@
     holder.wanted = demand.wanted;
     holder.expiry = now + this->settings.life;
     if (this->closed(now)) {
-        // Silence leaves a holder with what an earlier grantor gave it; an answer of zero would take it away.
+        // Without an answer the holder keeps the share from an earlier grantor; a grant of zero would revoke it.
         return {};
     }
     auto changed = std::vector<HolderKey>{key};
@@ -166,7 +167,7 @@
         }
         auto &holder = next->second;
         ++holder.granted.slots;
-        // A slot that was recalled and is not yet returned is still counted; giving it back to its holder takes nothing more.
+        // A slot that was recalled but not yet returned is still charged to its holder; granting it again does not increase the charge.
         holder.possible.slots = std::max(holder.possible.slots, holder.granted.slots);
         holder.waitingSince = now;
         holder.grantedSince = now;
@@ -246,14 +247,15 @@
             holder.possible.connections = std::max(holder.possible.connections, wanted);
             changed.push_back(key);
         }
-        // A slot without a connection to use it with is of no use to this proxy and would be missing elsewhere.
+        // A slot without a connection is useless to this proxy, and other proxies could use it.
         holder.granted.slots = std::min(holder.granted.slots, holder.granted.connections);
     }
 }
 
 auto ShareGrantor::issue(const HolderKey &key, Holder &holder) const -> ShareGrant
 {
-    // A grant does not prolong its holder's time: only a demand shows that the holder lives, and the holder counts from there.
+    // A grant does not extend the lease: only a demand proves that the holder is alive, and the holder counts the lifetime from its
+    // demand.
     ++holder.number;
     return {.upstream = this->upstream,
             .grantor = this->self,
--- a/lib/Decisions/shareholder.cpp
+++ b/lib/Decisions/shareholder.cpp
@@ -19,8 +19,8 @@
 
 auto ShareHolder::share(TimePoint now) const -> Share
 {
-    // Work that starts now may run for the guard's time. Without the guard a statement would still run when the grantor, which
-    // counts the grant as ended, has given the slot to another proxy.
+    // Work that starts now may run for startGuard. Without this check a statement could still run after the grant has expired at the
+    // grantor, which then grants the slot to another proxy.
     return now + this->settings.startGuard < this->expiry ? this->held : Share();
 }
 
@@ -66,11 +66,11 @@
 auto ShareHolder::mustSay(TimePoint now) const -> bool
 {
     const auto share = this->share(now).slots;
-    // A recalled slot whose statement has ended.
+    // The statement on a recalled slot has ended: return the slot.
     if (this->toldKeeps > share && this->running < this->toldKeeps && this->running >= share) {
         return true;
     }
-    // Work waits and the grantor does not know; or it knows of work that is gone.
+    // Work waits for a slot that the last demand did not request, or the last demand requested slots for work that no longer waits.
     const auto starved = this->wanted > share && this->toldWanted <= share;
     return starved || (this->toldWanted > share && this->wanted <= share);
 }
@@ -93,15 +93,15 @@
 auto ShareHolder::granted(const ShareGrant &grant, TimePoint now) -> std::optional<ShareDemand>
 {
     const auto mine = grant.grantor == this->grantor && grant.proxy == this->self && grant.incarnation == this->incarnation;
-    // A grant that answers an earlier demand was sent before the grantor saw what the newer one returned; it may have given that
-    // to another proxy since.
+    // A grant that answers an earlier demand was sent before the grantor received the newer one; since then it may have granted the
+    // slots that the newer demand returned to another proxy.
     if (!mine || grant.sequence != this->sequence || grant.number <= this->number) {
         return std::nullopt;
     }
     const auto life = std::chrono::duration_cast<Duration>(this->settings.life * (1.0 - this->settings.clockMargin));
     this->number = grant.number;
     this->held = grant.share;
-    // Counted from the demand, which was sent before the grantor began to count.
+    // Counted from the sending of the demand, which is before the grantor starts its own count.
     this->expiry = this->sentAt + life;
     this->toldKeeps = std::max(this->toldKeeps, grant.share.slots);
     if (this->mustSay(now)) {
--- a/lib/Decisions/sharetable.cpp
+++ b/lib/Decisions/sharetable.cpp
@@ -52,7 +52,7 @@
         if (entry.holders.empty()) {
             return;
         }
-        // What a former grantor gave is reported to the new one, which counts it before it gives out anything.
+        // The holder reports the share of an earlier grantor to the new one, which charges it before it grants anything.
         entry.holders.front().inherit(dropped);
     }
 }
@@ -91,7 +91,7 @@
         running[index] = std::min(unplaced, entry.holders[index].share(now).slots);
         unplaced -= running[index];
     }
-    // Work under a recalled or expired share is still told as kept to the grantor that gave it.
+    // Work under a recalled or expired share is still reported as kept to the grantor that granted it.
     for (auto index = std::size_t{0}; index < entry.holders.size(); ++index) {
         const auto kept = entry.holders[index].kept();
         const auto more = std::min(unplaced, kept - std::min(kept, running[index]));
--- a/lib/Decisions/statementqueue.cpp
+++ b/lib/Decisions/statementqueue.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/// \return what sorts statements: the smallest is served first
+/// \return the sort key of a statement; the smallest is served first
 auto rank(const QueuedStatement &statement, TimePoint now, Duration serviceTime)
 {
     const auto isLate = now + serviceTime > statement.due;
--- a/unittests/Decisions/loadtest.cpp
+++ b/unittests/Decisions/loadtest.cpp
@@ -20,10 +20,10 @@
 
 } // namespace
 
-TEST_CASE("work that cannot be served in time is refused at once and served when it returns as told")
+TEST_CASE("work that cannot be served in time is refused on arrival and served when the caller retries at the given time")
 {
-    // One slot, 10 ms for each write, and more writes than fit into the 100 ms that each caller allows. The caller sees a refusal
-    // at once with a time. At that time it comes back, although new work goes on arriving, and is answered before its deadline.
+    // One slot, 10 ms for each write, and more writes than fit into the 100 ms until each caller's deadline. The caller is refused on
+    // arrival with a retry time. It retries at that time, while new work continues to arrive, and is answered before its deadline.
     auto fixture = Fixture({}, 1);
     for (auto warming = 0; warming < 20; ++warming) {
         fixture.write("warm");
@@ -80,7 +80,7 @@
     CHECK(queue.pop(always, milliseconds(5), now)->id == WorkId(100));
 }
 
-TEST_CASE("a caller that was idle has no claim on the time it did not use")
+TEST_CASE("an idle caller accumulates no credit for service that it did not use")
 {
     auto queue = FairQueue(QueueSettings{.discipline = QueueDiscipline::FairQueueing});
     const auto now = TimePoint(std::chrono::hours(1));
@@ -100,9 +100,9 @@
     CHECK(late <= 6);
 }
 
-TEST_CASE("refused callers are told different times, one place after the other")
+TEST_CASE("refused callers receive successive retry times")
 {
-    // Told the same time, all would come back together and be refused again.
+    // With the same retry time all would retry together and be refused again.
     auto book = ReturnBook(milliseconds(1000), milliseconds(100));
     const auto now = TimePoint(std::chrono::hours(1));
     const auto first = book.promise(CallerId("a"), now + milliseconds(50), milliseconds(10), now);
@@ -116,7 +116,7 @@
     CHECK_FALSE(book.redeem(CallerId("a"), now + milliseconds(151)));
 }
 
-TEST_CASE("a caller whose statements turn out long is charged for them afterwards")
+TEST_CASE("a caller is charged the measured time of its long statements afterwards")
 {
     auto queue = FairQueue(QueueSettings{.discipline = QueueDiscipline::FairQueueing});
     const auto now = TimePoint(std::chrono::hours(1));
@@ -132,7 +132,7 @@
     }
 }
 
-TEST_CASE("with least attained service a caller above the threshold waits for those below it")
+TEST_CASE("least attained service: a caller above the threshold is served after those below it")
 {
     auto queue = FairQueue(QueueSettings{.discipline = QueueDiscipline::LeastAttained});
     const auto now = TimePoint(std::chrono::hours(1));
@@ -146,9 +146,9 @@
     CHECK(queue.size() == 1);
 }
 
-TEST_CASE("writes on one key run one after the other and leave the other slots to other work")
+TEST_CASE("writes on one key run one at a time and leave the other slots to other work")
 {
-    // Two writes change one row. The second would hold a slot of the primary only to wait for the row's lock, and a third caller's
+    // Two writes change one row. The second would occupy a slot of the primary only to wait for the row lock, and a third caller's
     // booking would wait behind it.
     auto fixture = Fixture();
     auto first = fixture.work(Access::Write, "a");
@@ -164,7 +164,7 @@
     CHECK(std::get<Start>(actions.front()).id == second.id);
 }
 
-TEST_CASE("a replica ten times slower than its peers is taken out, comes back slowly, and the last ones stay in")
+TEST_CASE("a replica ten times slower than its peers is ejected and readmitted with a slow start, and the last ones stay")
 {
     auto fixture = Fixture({}, 1);
     const auto roundOn = [&fixture](milliseconds slow, milliseconds quick) {
@@ -192,9 +192,9 @@
     CHECK(startedOn(fixture.tolerant(milliseconds(5000))) == "r1");
 }
 
-TEST_CASE("two slow replicas are not both taken out")
+TEST_CASE("two slow replicas are not both ejected")
 {
-    // A fault common to both, such as a full disk behind them, would otherwise send all their reads to the primary.
+    // A fault common to both, such as a full disk that they share, would otherwise send all their reads to the primary.
     auto fixture = Fixture({}, 1);
     for (auto round = 0; round < 40; ++round) {
         fixture.report("r1", 10);
@@ -208,9 +208,9 @@
     }
 }
 
-TEST_CASE("a promoted primary gets its share step by step")
+TEST_CASE("a promoted primary ramps up to its share in steps")
 {
-    // The gap has left eight writes waiting. The new primary's caches are cold; all at once would time out together.
+    // Eight writes wait since the loss of the primary. The caches of the new primary are cold; started at once, all would time out.
     auto fixture = Fixture({}, 4);
     fixture.cluster.groups.front().primary.reset();
     fixture.publish();
@@ -227,7 +227,7 @@
     CHECK(fixture.dispatcher->tick(fixture.now).size() == 2);
 }
 
-TEST_CASE("writes go before reads that accept age, and these are not starved")
+TEST_CASE("writes are served before reads that accept stale data, without starving them")
 {
     auto fixture = Fixture({}, 1);
     fixture.cluster.groups.front().members.resize(1);
@@ -268,7 +268,8 @@
 
 TEST_CASE("a service whose dependency refuses is refused early, with probes, until the dependency recovers")
 {
-    // Most work of the lower service is refused. Requests of the upper one would take their slots first and fail in the last step.
+    // Most requests of the dependency are refused. Requests of the dependent service would occupy slots first and fail in their last
+    // step.
     auto guard = DependencyGuard(DependencySettings{});
     auto now = TimePoint(std::chrono::hours(1));
     const auto fill = [&guard, &now](int admitted, int refused) {
@@ -294,7 +295,7 @@
     CHECK_FALSE(guard.refusing(now));
 }
 
-TEST_CASE("reads give way by the age they accept, and come back one step at a time without swinging")
+TEST_CASE("brownout sheds reads in order of the age they accept, and recovers one step at a time without oscillating")
 {
     const auto settings = BrownoutSettings{};
     const auto between = (settings.enterDelay + settings.leaveDelay) / 2;
@@ -319,7 +320,7 @@
     CHECK(brownout.level() == 1);
 }
 
-TEST_CASE("the limit of concurrent work falls with refusals of the upstream, not below one, and rises with answers")
+TEST_CASE("the concurrency limit falls with refusals of the upstream, not below one, and rises with answers")
 {
     auto limit = ConcurrencyLimit(ConcurrencySettings{});
     CHECK(limit.limit(5) == 5);
--- a/unittests/Decisions/modulestest.cpp
+++ b/unittests/Decisions/modulestest.cpp
@@ -5,7 +5,7 @@
 namespace sapphirespool::decisions
 {
 
-TEST_CASE("retries stop when the budget is spent and come back with first attempts")
+TEST_CASE("retries stop when the budget is exhausted and resume after first attempts")
 {
     auto budget = RetryBudget(0.1);
     for (auto count = 0; count < static_cast<int>(RetryBudget::reserve); ++count) {
@@ -19,7 +19,7 @@
     CHECK_FALSE(budget.trySpend());
 }
 
-TEST_CASE("retries wait a random part of a growing bound")
+TEST_CASE("the retry delay is a random fraction of an exponentially growing bound")
 {
     CHECK(retryDelay(1, 0.5) == std::chrono::milliseconds(10));
     CHECK(retryDelay(3, 0.5) == std::chrono::milliseconds(40));
--- a/unittests/Decisions/shareallocatortest.cpp
+++ b/unittests/Decisions/shareallocatortest.cpp
@@ -23,7 +23,8 @@
 constexpr auto limitConnections = 35U;
 constexpr auto proxyCount = 6;
 
-/// One proxy: its holder, and the statements that it runs under the share. The statements outlive the process: the upstream goes on.
+/// One proxy: its holder, and the statements that it runs under the share. Statements outlive the process, as the upstream continues
+/// to run them.
 struct Proxy
 {
     std::unique_ptr<ShareHolder> holder;
@@ -32,7 +33,7 @@
     std::uint64_t incarnation = 0;
 };
 
-/// A grantor, holders and a network that loses, delays and doubles messages.
+/// Simulates a grantor, holders and a network that loses, delays and duplicates messages.
 class World
 {
 public:
@@ -174,7 +175,7 @@
         }
     }
 
-    /// The view that names the grantor's new process reaches each proxy at another time, and not one that is cut off.
+    /// The view with the grantor's new process reaches each proxy at a different time, and not an isolated one.
     auto learnGrantor(int index) -> void
     {
         auto &proxy = this->proxies[index];
@@ -247,12 +248,12 @@
 
 } // namespace
 
-TEST_CASE("the sum of shares never exceeds the upstream's limit whatever is lost, late, doubled or restarted")
+TEST_CASE("the sum of shares never exceeds the upstream's limit, whatever is lost, delayed, duplicated or restarted")
 {
-    // Callers see an upstream over its limit as statements that are refused or slow. Messages between proxies are lost, delayed
-    // by seconds or doubled; proxies restart while their statements still run at the upstream, and the grantor restarts with an
-    // empty table while its grants live on. At each step all that any proxy runs or may start is added up. A proxy that is cut off goes on under its last
-    // grant.
+    // An upstream over its limit refuses callers' statements or serves them slowly. Messages between proxies are lost, delayed by
+    // seconds or duplicated; proxies restart while their statements still run at the upstream, and the grantor restarts with an empty
+    // table while its grants are still valid. An isolated proxy continues under its last grant. Each step checks the sum of all that
+    // proxies run or may start.
     CHECK(holdsFor(
         "sum of shares",
         [](unsigned seed) {
@@ -265,7 +266,7 @@
         100));
 }
 
-TEST_CASE("shares follow demand and each proxy with work gets its turn")
+TEST_CASE("shares follow demand without starving any proxy")
 {
     auto world = World(7);
     for (auto step = 0; step < 4000; ++step) {
@@ -275,10 +276,10 @@
     CHECK(*least * 2 > *most);
 }
 
-TEST_CASE("the share of a dead proxy returns")
+TEST_CASE("the share of an unresponsive proxy becomes available again")
 {
-    // One proxy of six stops answering while it holds slots. Its slots are unused until its grants have run out by the grantor's
-    // clock; after that the others have all of them again.
+    // One proxy of six becomes unresponsive while it holds slots. Its slots are unused until its grants expire by the grantor's clock;
+    // after that the other proxies have all slots.
     auto world = World(7);
     for (auto step = 0; step < 500; ++step) {
         world.step();
@@ -299,10 +300,10 @@
     CHECK(whole > reference.finished * 7 / 10);
 }
 
-TEST_CASE("a grant that arrives late lives from its demand and starts nothing that would outlive it")
+TEST_CASE("the lifetime of a delayed grant counts from its demand, and no work starts that would outlive it")
 {
-    // A proxy asks, then its messages are held up for two seconds. The grantor began to count when the demand arrived. A statement
-    // that starts at the last moment may run for the guard's time; after that the slot belongs to another proxy.
+    // A proxy sends a demand, then its messages are delayed for two seconds. The grantor counts the lifetime from the arrival of the
+    // demand. A statement that starts at the last moment may run for startGuard; after that the slot belongs to another proxy.
     const auto settings = ShareSettings();
     const auto grantorId = GrantorId{VmId("g"), Incarnation(1)};
     const auto sent = TimePoint(std::chrono::hours(1));
@@ -329,17 +330,17 @@
     CHECK(lastStart + settings.startGuard <= freed);
 }
 
-TEST_CASE("a new grantor gives nothing while work of ended processes may still run")
+TEST_CASE("a new grantor grants nothing while work of terminated processes may still run")
 {
-    // A proxy and the grantor restart together. A statement that the proxy's former process sent still runs at the upstream, and
-    // nobody can report it. Callers would see the upstream over its limit; after the guard's time no such statement is left.
+    // A proxy and the grantor restart together. A statement of the proxy's earlier process still runs at the upstream, and no process
+    // can report it. An early grant would put the upstream over its limit; after startGuard no such statement is left.
     const auto settings = ShareSettings();
     const auto start = TimePoint(std::chrono::hours(1));
     const auto second = GrantorId{VmId("g"), Incarnation(2)};
     auto grantor = ShareGrantor(second, UpstreamId("u"), settings, start);
     grantor.limitChanged({2, 10}, {1, 5}, {VmId("p0")}, start);
 
-    // A demand to the grantor's former process may have an answer under way, so it does not count as heard.
+    // A demand to the grantor's earlier process may have an answer in flight, so it does not count as a report of what is kept.
     auto unaware = ShareHolder(VmId("p0"), Incarnation(1), UpstreamId("u"), {VmId("g"), Incarnation(1)}, settings);
     CHECK(grantor.demanded(*unaware.workChanged(0, 2, start), start).empty());
     CHECK(grantor.tick(start + settings.startGuard).empty());
@@ -363,7 +364,7 @@
     }
 }
 
-TEST_CASE("a leaving proxy is not chosen as grantor and the others keep their places")
+TEST_CASE("a leaving proxy is not chosen as grantor and the others keep their positions")
 {
     auto proxies = std::vector<membership::ProxyView>();
     for (auto index = 0; index < 12; ++index) {
--- a/unittests/Decisions/statementqueuetest.cpp
+++ b/unittests/Decisions/statementqueuetest.cpp
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 
-/// A kind of caller: how often one comes, how long its statements take, when it wants them done, and how long it waits at most.
+/// A class of callers: rate and service time of their statements, response time objective, and maximum wait.
 struct CallerKind
 {
     double perSecond = 0;
@@ -47,7 +47,7 @@
 
 constexpr auto slots = std::size_t{6};
 
-/// An upstream of six slots, and who comes to it: short urgent writes, reads, and long reads that may take their time.
+/// Simulates an upstream with six slots and its arrivals: short urgent writes, reads, and long reads with a long objective.
 class Upstream
 {
 public:
@@ -56,7 +56,7 @@
     {
     }
 
-    /// \param load factor on the callers of the overloaded time, which is from 2 s to 8 s of 12 s
+    /// \param load factor on the arrival rate during the overload, which lasts from 2 s to 8 s of 12 s
     auto run(const std::vector<CallerKind> &kinds, double load) -> std::vector<Outcome>
     {
         this->outcomes.assign(kinds.size(), Outcome());
@@ -96,13 +96,13 @@
             ++this->outcomes[number].refusedAtOnce;
             return;
         }
-        // In order of arrival all have the same rank, so that only their numbers count.
+        // For order of arrival all statements have the same rank, so that their ticket numbers decide.
         const auto statement = this->order == Order::Arrival ? QueuedStatement{0, TimePoint::max(), true} : urgency;
         this->waiting.emplace(this->queue.push(statement), Waiting{kind, number, now});
         this->fill(now);
     }
 
-    /// Takes out who has waited as long as it would.
+    /// Removes statements that have reached their wait limit.
     auto expire(TimePoint now) -> void
     {
         std::erase_if(this->waiting, [this, now](const auto &entry) {
@@ -147,7 +147,7 @@
     std::vector<Outcome> outcomes;
 };
 
-/// Short writes with a short objective, reads of half the work, and long reads with a long one; together 5.9 slots at a load of 1.
+/// Short writes with a short objective, reads, and long reads with a long objective; together they occupy 5.9 slots at a load of 1.
 auto mixedCallers() -> std::vector<CallerKind>
 {
     return {{33, 11ms, 200ms, 500ms, 1}, {115, 33ms, 400ms, 500ms, 2}, {33, 55ms, 800ms, 1500ms, 2}};
@@ -160,7 +160,7 @@
 
 } // namespace
 
-TEST_CASE("who is more urgent, and who wants the answer sooner, is served first")
+TEST_CASE("statements with higher priority, then those due sooner, are served first")
 {
     auto queue = StatementQueue();
     const auto patient = ticketOf(queue, 2, 800ms);
@@ -173,7 +173,7 @@
     CHECK_FALSE(queue.pop(TimePoint{}, 10ms, true));
 }
 
-TEST_CASE("who can no longer be in time waits for those who can")
+TEST_CASE("statements that can no longer be in time are served after those that can")
 {
     auto queue = StatementQueue();
     const auto late = ticketOf(queue, 1, 100ms);
@@ -182,7 +182,7 @@
     CHECK(queue.pop(TimePoint{} + 95ms, 10ms, true) == late);
 }
 
-TEST_CASE("what takes no slot is served while all slots are taken, and a withdrawn statement is not")
+TEST_CASE("statements without a slot are served while all slots are taken, erased ones are not served")
 {
     auto queue = StatementQueue();
     const auto statement = ticketOf(queue, 0, 10ms);
@@ -194,11 +194,11 @@
     CHECK_FALSE(queue.pop(TimePoint{}, 1ms, true));
 }
 
-TEST_CASE("load: both replicas lag, and the primary gets a third more work than it can do")
+TEST_CASE("load: both replicas lag, and the primary receives a third more work than its capacity")
 {
     // For six seconds all reads of the group go to its primary. In order of arrival each statement waits behind the whole backlog: the
-    // bookings, a twentieth of the work, come late or not at all. In the queue's order they are served as on a calm day, and the
-    // overload is borne by the reads, fewer of which come in time only by as much as there is too much work.
+    // bookings, a twentieth of the work, are late or time out. In the queue's order they are served as without overload, and the reads
+    // bear the overload: only the work in excess of the capacity is late.
     const auto byArrival = Upstream(Order::Arrival).run(mixedCallers(), 1.3);
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 1.3);
     CHECK(byArrival[0].partInTime() < 0.6);
@@ -208,24 +208,25 @@
 
 TEST_CASE("load: a burst of three times the capacity for six seconds, and the time after it")
 {
-    // Plain order by deadline would serve those whose time is just over. Here the slots stay with who can be in time.
+    // Plain earliest-deadline order would serve statements that have just missed their objective. Here the slots serve statements that
+    // can still be in time.
     const auto byArrival = Upstream(Order::Arrival).run(mixedCallers(), 3.0);
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 3.0);
     CHECK(byQueue[0].partInTime() > 0.95);
     CHECK(byQueue[0].inTime + byQueue[1].inTime + byQueue[2].inTime > byArrival[0].inTime + byArrival[1].inTime + byArrival[2].inTime);
 }
 
-TEST_CASE("load: whom the queue takes it serves in time, whom it cannot serve it tells at once")
+TEST_CASE("load: the queue serves admitted statements in time and refuses the others on arrival")
 {
-    // Three times the capacity for six seconds. Of the reads most cannot be served; held until their time is over, their callers would have
-    // waited for nothing. Nearly all are told at once, and nearly all that were taken are in time.
+    // Three times the capacity for six seconds. Most reads cannot be served; queued until they expire, their callers would wait in vain.
+    // Nearly all of these are refused on arrival, and nearly all admitted reads are in time.
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 3.0);
     const auto &reads = byQueue[1];
     CHECK(reads.refusedAtOnce > reads.asked / 4);
     CHECK(static_cast<double>(reads.inTime) > 0.9 * static_cast<double>(reads.asked - reads.refusedAtOnce));
 }
 
-TEST_CASE("load: without overload nobody loses")
+TEST_CASE("load: without overload all classes of callers meet their objective")
 {
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 0.7);
     for (const auto &outcome : byQueue) {
