--- a/include/sapphirespool/Decisions/returnbook.h
+++ b/include/sapphirespool/Decisions/returnbook.h
@@ -20,9 +20,9 @@
 class ReturnBook
 {
 public:
-    /// \param longest maximum time from now to a reservation
+    /// \param maximumDelay maximum time from now to a reservation
     /// \param grace time after which an unused reservation expires
-    ReturnBook(Duration longest, Duration grace);
+    ReturnBook(Duration maximumDelay, Duration grace);
 
     /// Reserves the next time for \p caller, not before \p earliest and at least \p spacing after the last reservation.
     /// \return when to retry; without a reservation if that is the maximum time from now
@@ -39,18 +39,18 @@
     auto expire(TimePoint now) -> void;
 
 private:
-    struct Place
+    struct Reservation
     {
         TimePoint at;
         CallerId caller;
-        bool taken = false;
+        bool used = false;
     };
 
-    Duration longest;
+    Duration maximumDelay;
     Duration grace;
-    TimePoint lineEnd{};
+    TimePoint lastReservation{};
     /// In ascending order of time.
-    std::deque<Place> places;
+    std::deque<Reservation> reservations;
     std::unordered_map<CallerId, std::deque<TimePoint>> byCaller;
 };
 
--- a/include/sapphirespool/Decisions/settings.h
+++ b/include/sapphirespool/Decisions/settings.h
@@ -66,7 +66,8 @@
     double replicaPatience = 0.25;
     /// Upper bound of that wait, regardless of the deadline.
     std::chrono::milliseconds longestPatience{100};
-    /// Assumed one-way latency to another availability zone, until service times are measured; 1 and 1.5 ms in the deployments.
+    /// Assumed one-way latency to another availability zone, added to the expected service time in both directions; 1 and 1.5 ms in the
+    /// deployments.
     std::chrono::microseconds otherZone{1500};
 };
 
--- a/include/sapphirespool/Decisions/shareallocator.h
+++ b/include/sapphirespool/Decisions/shareallocator.h
@@ -39,7 +39,7 @@
     /// Increases with each demand. The proxy ignores grants that answer an earlier one.
     std::uint64_t sequence = 0;
     /// What the proxy continues to use; this message returns the rest of earlier grants.
-    Share keeps;
+    Share retained;
     /// Slots that the proxy's work could use now.
     std::uint32_t wanted = 0;
 };
@@ -63,19 +63,19 @@
 {
     /// Lifetime of a grant. It covers the longest statement and some lost renewals; the share of a crashed proxy is available again
     /// after it.
-    std::chrono::milliseconds life{5000};
+    std::chrono::milliseconds lifetime{5000};
     /// No statement starts under a grant with less than this time to its expiry; at least the longest timeout of a service, so that
     /// no statement outlives its grant.
     std::chrono::milliseconds startGuard{2500};
     /// Fraction of the lifetime that a holder gives up, as clocks run at different rates.
     double clockMargin = 0.02;
     /// Renewal interval; five renewals may be lost before startGuard stops new work.
-    std::chrono::milliseconds renewal{400};
+    std::chrono::milliseconds renewalInterval{400};
     /// Time after which a slot is recalled if other proxies wait for one. Shorter values move slots more often, longer ones make proxies
     /// wait longer.
-    std::chrono::milliseconds quantum{20};
+    std::chrono::milliseconds recallInterval{20};
     /// Time after which a holder returns a slot without work.
-    std::chrono::milliseconds linger{5};
+    std::chrono::milliseconds idleSlotTimeout{5};
     /// Time for which a new grantor grants nothing: the lifetime of a grant, plus the time for which a partitioned grantor may continue
     /// to grant under an outdated view.
     std::chrono::milliseconds handover{8000};
@@ -100,12 +100,12 @@
 
     /// Handles a demand of a proxy.
     /// \return grants to send
-    auto demanded(const ShareDemand &demand, TimePoint now) -> Grants;
+    auto handleDemand(const ShareDemand &demand, TimePoint now) -> Grants;
 
     /// Sets the part that this grantor grants and the proxies that may send demands. The smaller half is granted before the end of the
     /// handover, once each proxy has reported what it keeps and the work of its earlier processes must have ended.
-    /// \param early the smaller half of the upstream's limit
-    auto limitChanged(Share part, Share early, std::vector<VmId> proxies, TimePoint now) -> Grants;
+    /// \param handoverPart the smaller half of the upstream's limit
+    auto limitChanged(Share part, Share handoverPart, std::vector<VmId> proxies, TimePoint now) -> Grants;
     auto tick(TimePoint now) -> Grants;
     [[nodiscard]] auto nextTick() const -> std::optional<TimePoint>;
 
@@ -121,10 +121,10 @@
         /// Share of the last grant.
         Share granted;
         /// Upper bound of what the holder uses.
-        Share possible;
+        Share possibleUse;
         TimePoint expiry{};
         /// When its first demand arrived.
-        TimePoint heardAt{};
+        TimePoint firstDemandAt{};
         /// Since when it waits for more slots, and since when its granted slots are unchanged.
         TimePoint waitingSince{};
         TimePoint grantedSince{};
@@ -132,26 +132,26 @@
     using HolderKey = std::pair<VmId, Incarnation>;
 
     auto expire(TimePoint now) -> void;
-    [[nodiscard]] auto closed(TimePoint now) const -> bool;
+    [[nodiscard]] auto withholdsGrants(TimePoint now) const -> bool;
     [[nodiscard]] auto limitAt(TimePoint now) const -> Share;
-    [[nodiscard]] auto allHeardAt() const -> std::optional<TimePoint>;
+    [[nodiscard]] auto allReportedAt() const -> std::optional<TimePoint>;
     auto rebalance(std::vector<HolderKey> &changed, TimePoint now) -> void;
-    auto giveFree(std::vector<HolderKey> &changed, TimePoint now) -> void;
-    auto recall(std::vector<HolderKey> &changed, TimePoint now) -> void;
-    [[nodiscard]] auto neediest() -> std::map<HolderKey, Holder>::iterator;
+    auto grantFreeSlots(std::vector<HolderKey> &changed, TimePoint now) -> void;
+    auto recallSlots(std::vector<HolderKey> &changed, TimePoint now) -> void;
+    [[nodiscard]] auto nextToGrant() -> std::map<HolderKey, Holder>::iterator;
     [[nodiscard]] auto total() const -> Share;
     [[nodiscard]] auto pendingReturns() const -> std::uint32_t;
-    auto issue(const HolderKey &key, Holder &holder) const -> ShareGrant;
-    auto issueAll(std::vector<HolderKey> changed) -> Grants;
+    auto makeGrant(const HolderKey &key, Holder &holder) const -> ShareGrant;
+    auto makeGrants(std::vector<HolderKey> changed) -> Grants;
 
     GrantorId self;
     UpstreamId upstream;
     Share part;
-    Share early;
+    Share handoverPart;
     std::vector<VmId> proxies;
     ShareSettings settings;
     /// End of the handover; the whole part is granted from then on.
-    TimePoint openFrom;
+    TimePoint handoverEnd;
     std::map<HolderKey, Holder> holders;
 };
 
@@ -169,7 +169,7 @@
 
     /// Handles a grant; ignores one to another process or one that answers an earlier demand.
     /// \return a demand to send, if the grantor has to be notified now
-    auto granted(const ShareGrant &grant, TimePoint now) -> std::optional<ShareDemand>;
+    auto handleGrant(const ShareGrant &grant, TimePoint now) -> std::optional<ShareDemand>;
     auto tick(TimePoint now) -> std::optional<ShareDemand>;
     [[nodiscard]] auto nextTick(TimePoint now) const -> TimePoint;
 
@@ -186,7 +186,7 @@
 
 private:
     auto demand(TimePoint now) -> ShareDemand;
-    [[nodiscard]] auto mustSay(TimePoint now) const -> bool;
+    [[nodiscard]] auto needsDemand(TimePoint now) const -> bool;
 
     VmId self;
     Incarnation incarnation;
@@ -197,13 +197,13 @@
     std::uint64_t number = 0;
     Share held;
     /// Values that the grantor holds from the last demand.
-    std::uint32_t toldKeeps = 0;
-    std::uint32_t toldWanted = 0;
+    std::uint32_t reportedKept = 0;
+    std::uint32_t reportedWanted = 0;
     std::uint32_t running = 0;
     std::uint32_t wanted = 0;
     TimePoint sentAt{};
     TimePoint expiry{};
-    std::optional<TimePoint> surplusSince;
+    std::optional<TimePoint> idleSlotsSince;
 };
 
 /// Number of grantors of an upstream, each of which grants its part of the limit.
@@ -215,6 +215,6 @@
 [[nodiscard]] auto grantorsOf(const UpstreamId &upstream, std::span<const membership::ProxyView> proxies) -> std::vector<GrantorId>;
 
 /// \return the part of \p limit that the grantor at \p index of \p count grants; the parts add up to the limit
-[[nodiscard]] auto partOf(Share limit, std::size_t index, std::size_t count) -> Share;
+[[nodiscard]] auto partOfLimit(Share limit, std::size_t index, std::size_t count) -> Share;
 
 } // namespace sapphirespool::decisions
--- a/include/sapphirespool/Decisions/sharetable.h
+++ b/include/sapphirespool/Decisions/sharetable.h
@@ -61,7 +61,7 @@
         std::unique_ptr<ShareGrantor> grantor;
         std::uint32_t running = 0;
         std::uint32_t wanted = 0;
-        Share told;
+        Share reported;
     };
 
     auto updateHolders(UpstreamEntry &entry, const UpstreamId &upstream, const std::vector<GrantorId> &grantors) -> void;
@@ -71,7 +71,7 @@
                        const std::vector<membership::ProxyView> &proxies,
                        TimePoint now,
                        ShareActions &actions) -> void;
-    auto spread(UpstreamEntry &entry, TimePoint now, ShareActions &actions) -> void;
+    auto assignWork(UpstreamEntry &entry, TimePoint now, ShareActions &actions) -> void;
     auto send(std::optional<ShareDemand> demand, TimePoint now, ShareActions &actions) -> void;
     auto send(ShareGrantor::Grants grants, TimePoint now, ShareActions &actions) -> void;
     auto reportChanges(TimePoint now, ShareActions &actions) -> void;
--- a/include/sapphirespool/Decisions/statementqueue.h
+++ b/include/sapphirespool/Decisions/statementqueue.h
@@ -41,11 +41,11 @@
     /// objective covers its service time, its round trip, and statements that arrive later and are served first. Without this limit each
     /// statement in an overload of seconds waits for all of its objective and is then late or refused: no caller receives a fast answer,
     /// be it a result or a refusal.
-    static constexpr auto waitPart = 2;
+    static constexpr auto waitDivisor = 2;
 
     /// Maximum number of waiting statements for one upstream. About a hundred statements of tens of milliseconds each on a handful of
     /// slots are seconds of work: a further statement is better served by another upstream.
-    static constexpr auto limit = std::size_t{128};
+    static constexpr auto maximumSize = std::size_t{128};
 
     [[nodiscard]] auto push(const QueuedStatement &statement) -> Ticket;
 
@@ -71,7 +71,7 @@
 private:
     /// In order of arrival.
     std::map<Ticket, QueuedStatement> waiting;
-    Ticket last = 0;
+    Ticket lastTicket = 0;
 };
 
 } // namespace sapphirespool::decisions
--- a/lib/Decisions/returnbook.cpp
+++ b/lib/Decisions/returnbook.cpp
@@ -9,12 +9,12 @@
 {
 
 /// A retry may arrive this much too early, as clients round the delay down or have a clock that runs fast.
-constexpr auto earlyBy = std::chrono::milliseconds(2);
+constexpr auto earlyTolerance = std::chrono::milliseconds(2);
 
 } // namespace
 
-ReturnBook::ReturnBook(Duration longest, Duration grace)
-    : longest(longest)
+ReturnBook::ReturnBook(Duration maximumDelay, Duration grace)
+    : maximumDelay(maximumDelay)
     , grace(grace)
 {
 }
@@ -22,13 +22,13 @@
 auto ReturnBook::promise(const CallerId &caller, TimePoint earliest, Duration spacing, TimePoint now) -> TimePoint
 {
     this->expire(now);
-    const auto at = std::max(earliest, this->lineEnd + spacing);
-    if (at > now + this->longest) {
+    const auto at = std::max(earliest, this->lastReservation + spacing);
+    if (at > now + this->maximumDelay) {
         // The schedule is full. The caller receives the maximum delay and no reservation.
-        return now + this->longest;
+        return now + this->maximumDelay;
     }
-    this->lineEnd = at;
-    this->places.push_back({at, caller});
+    this->lastReservation = at;
+    this->reservations.push_back({at, caller});
     this->byCaller[caller].push_back(at);
     return at;
 }
@@ -37,7 +37,7 @@
 {
     this->expire(now);
     const auto found = this->byCaller.find(caller);
-    if (found == this->byCaller.end() || found->second.front() > now + earlyBy) {
+    if (found == this->byCaller.end() || found->second.front() > now + earlyTolerance) {
         return false;
     }
     const auto at = found->second.front();
@@ -45,33 +45,33 @@
     if (found->second.empty()) {
         this->byCaller.erase(found);
     }
-    const auto from = std::lower_bound(this->places.begin(), this->places.end(), at, [](const Place &place, TimePoint time) {
-        return place.at < time;
+    const auto from = std::lower_bound(this->reservations.begin(), this->reservations.end(), at, [](const Reservation &reservation, TimePoint time) {
+        return reservation.at < time;
     });
-    const auto place = std::find_if(from, this->places.end(), [&caller](const Place &candidate) {
-        return !candidate.taken && candidate.caller == caller;
+    const auto reservation = std::find_if(from, this->reservations.end(), [&caller](const Reservation &candidate) {
+        return !candidate.used && candidate.caller == caller;
     });
-    if (place != this->places.end()) {
-        place->taken = true;
+    if (reservation != this->reservations.end()) {
+        reservation->used = true;
     }
     return true;
 }
 
 auto ReturnBook::due(TimePoint until) const -> std::size_t
 {
-    const auto end = std::upper_bound(this->places.begin(), this->places.end(), until, [](TimePoint time, const Place &place) {
-        return time < place.at;
+    const auto end = std::upper_bound(this->reservations.begin(), this->reservations.end(), until, [](TimePoint time, const Reservation &reservation) {
+        return time < reservation.at;
     });
-    return static_cast<std::size_t>(end - this->places.begin());
+    return static_cast<std::size_t>(end - this->reservations.begin());
 }
 
 auto ReturnBook::expire(TimePoint now) -> void
 {
-    while (!this->places.empty() && (this->places.front().taken || this->places.front().at + this->grace < now)) {
-        const auto place = this->places.front();
-        this->places.pop_front();
-        const auto found = this->byCaller.find(place.caller);
-        if (place.taken || found == this->byCaller.end()) {
+    while (!this->reservations.empty() && (this->reservations.front().used || this->reservations.front().at + this->grace < now)) {
+        const auto reservation = this->reservations.front();
+        this->reservations.pop_front();
+        const auto found = this->byCaller.find(reservation.caller);
+        if (reservation.used || found == this->byCaller.end()) {
             continue;
         }
         found->second.pop_front();
--- a/lib/Decisions/serviceestimate.cpp
+++ b/lib/Decisions/serviceestimate.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-constexpr auto deviationsToHigh = 4.0;
+constexpr auto deviationFactor = 4.0;
 
-auto toDuration(double value) -> Duration
+auto secondsToDuration(double value) -> Duration
 {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(value));
 }
@@ -38,12 +38,12 @@
 
 auto ServiceEstimate::mean() const -> Duration
 {
-    return toDuration(this->meanSeconds);
+    return secondsToDuration(this->meanSeconds);
 }
 
 auto ServiceEstimate::high() const -> Duration
 {
-    return toDuration(this->meanSeconds + deviationsToHigh * this->deviationSeconds);
+    return secondsToDuration(this->meanSeconds + deviationFactor * this->deviationSeconds);
 }
 
 auto ServiceEstimate::samples() const -> std::uint32_t
--- a/lib/Decisions/shareholder.cpp
+++ b/lib/Decisions/shareholder.cpp
@@ -31,7 +31,7 @@
 
 auto ShareHolder::kept() const -> std::uint32_t
 {
-    return this->toldKeeps;
+    return this->reportedKept;
 }
 
 auto ShareHolder::inherit(const ShareHolder &former) -> void
@@ -39,7 +39,7 @@
     this->held.slots += former.held.slots;
     this->held.connections += former.held.connections;
     this->expiry = this->expiry == TimePoint() ? former.expiry : std::min(this->expiry, former.expiry);
-    this->toldKeeps += former.toldKeeps;
+    this->reportedKept += former.reportedKept;
 }
 
 auto ShareHolder::demand(TimePoint now) -> ShareDemand
@@ -50,61 +50,61 @@
     ++this->sequence;
     this->number = 0;
     this->sentAt = now;
-    this->surplusSince.reset();
+    this->idleSlotsSince.reset();
     this->held.slots = std::min(this->held.slots, std::max(this->running, this->wanted));
-    this->toldKeeps = std::max(this->held.slots, this->running);
-    this->toldWanted = this->wanted;
+    this->reportedKept = std::max(this->held.slots, this->running);
+    this->reportedWanted = this->wanted;
     return {.upstream = this->upstream,
             .grantor = this->grantor,
             .proxy = this->self,
             .incarnation = this->incarnation,
             .sequence = this->sequence,
-            .keeps = {this->toldKeeps, this->held.connections},
+            .retained = {this->reportedKept, this->held.connections},
             .wanted = this->wanted};
 }
 
-auto ShareHolder::mustSay(TimePoint now) const -> bool
+auto ShareHolder::needsDemand(TimePoint now) const -> bool
 {
     const auto share = this->share(now).slots;
     // The statement on a recalled slot has ended: return the slot.
-    if (this->toldKeeps > share && this->running < this->toldKeeps && this->running >= share) {
+    if (this->reportedKept > share && this->running < this->reportedKept && this->running >= share) {
         return true;
     }
     // Work waits for a slot that the last demand did not request, or the last demand requested slots for work that no longer waits.
-    const auto starved = this->wanted > share && this->toldWanted <= share;
-    return starved || (this->toldWanted > share && this->wanted <= share);
+    const auto underReported = this->wanted > share && this->reportedWanted <= share;
+    return underReported || (this->reportedWanted > share && this->wanted <= share);
 }
 
 auto ShareHolder::workChanged(std::uint32_t nowRunning, std::uint32_t nowWanted, TimePoint now) -> std::optional<ShareDemand>
 {
     this->running = nowRunning;
     this->wanted = nowWanted;
-    if (this->mustSay(now)) {
+    if (this->needsDemand(now)) {
         return this->demand(now);
     }
     if (this->wanted >= this->held.slots) {
-        this->surplusSince.reset();
-    } else if (!this->surplusSince) {
-        this->surplusSince = now;
+        this->idleSlotsSince.reset();
+    } else if (!this->idleSlotsSince) {
+        this->idleSlotsSince = now;
     }
     return std::nullopt;
 }
 
-auto ShareHolder::granted(const ShareGrant &grant, TimePoint now) -> std::optional<ShareDemand>
+auto ShareHolder::handleGrant(const ShareGrant &grant, TimePoint now) -> std::optional<ShareDemand>
 {
-    const auto mine = grant.grantor == this->grantor && grant.proxy == this->self && grant.incarnation == this->incarnation;
+    const auto isAddressee = grant.grantor == this->grantor && grant.proxy == this->self && grant.incarnation == this->incarnation;
     // A grant that answers an earlier demand was sent before the grantor received the newer one; since then it may have granted the
     // slots that the newer demand returned to another proxy.
-    if (!mine || grant.sequence != this->sequence || grant.number <= this->number) {
+    if (!isAddressee || grant.sequence != this->sequence || grant.number <= this->number) {
         return std::nullopt;
     }
-    const auto life = std::chrono::duration_cast<Duration>(this->settings.life * (1.0 - this->settings.clockMargin));
+    const auto lifetime = std::chrono::duration_cast<Duration>(this->settings.lifetime * (1.0 - this->settings.clockMargin));
     this->number = grant.number;
     this->held = grant.share;
     // Counted from the sending of the demand, which is before the grantor starts its own count.
-    this->expiry = this->sentAt + life;
-    this->toldKeeps = std::max(this->toldKeeps, grant.share.slots);
-    if (this->mustSay(now)) {
+    this->expiry = this->sentAt + lifetime;
+    this->reportedKept = std::max(this->reportedKept, grant.share.slots);
+    if (this->needsDemand(now)) {
         return this->demand(now);
     }
     return std::nullopt;
@@ -112,8 +112,8 @@
 
 auto ShareHolder::tick(TimePoint now) -> std::optional<ShareDemand>
 {
-    const auto surplusDue = this->surplusSince && now - *this->surplusSince >= this->settings.linger;
-    if (surplusDue || now - this->sentAt >= this->settings.renewal) {
+    const auto idleSlotsDue = this->idleSlotsSince && now - *this->idleSlotsSince >= this->settings.idleSlotTimeout;
+    if (idleSlotsDue || now - this->sentAt >= this->settings.renewalInterval) {
         return this->demand(now);
     }
     return std::nullopt;
@@ -121,9 +121,9 @@
 
 auto ShareHolder::nextTick(TimePoint now) const -> TimePoint
 {
-    auto next = std::max(now, this->sentAt + this->settings.renewal);
-    if (this->surplusSince) {
-        next = std::min(next, std::max(now, *this->surplusSince + this->settings.linger));
+    auto next = std::max(now, this->sentAt + this->settings.renewalInterval);
+    if (this->idleSlotsSince) {
+        next = std::min(next, std::max(now, *this->idleSlotsSince + this->settings.idleSlotTimeout));
     }
     return next;
 }
@@ -149,7 +149,7 @@
     return grantors;
 }
 
-auto partOf(Share limit, std::size_t index, std::size_t count) -> Share
+auto partOfLimit(Share limit, std::size_t index, std::size_t count) -> Share
 {
     const auto part = [index, count](std::uint32_t whole) {
         const auto parts = static_cast<std::uint32_t>(count);
--- a/lib/Decisions/sharetable.cpp
+++ b/lib/Decisions/sharetable.cpp
@@ -23,7 +23,7 @@
             const auto grantors = grantorsOf(member.id, view.proxies);
             this->updateHolders(entry, member.id, grantors);
             this->updateGrantor(entry, member, grantors, view.proxies, now, actions);
-            this->spread(entry, now, actions);
+            this->assignWork(entry, now, actions);
         }
     }
     std::erase_if(this->upstreams, [&present](const auto &item) {
@@ -35,20 +35,20 @@
 
 auto ShareTable::updateHolders(UpstreamEntry &entry, const UpstreamId &upstream, const std::vector<GrantorId> &grantors) -> void
 {
-    auto old = std::move(entry.holders);
+    auto previous = std::move(entry.holders);
     entry.holders.clear();
     for (const auto &grantor : grantors) {
-        const auto kept = std::find_if(old.begin(), old.end(), [&grantor](const auto &holder) {
+        const auto kept = std::find_if(previous.begin(), previous.end(), [&grantor](const auto &holder) {
             return holder.grantorId() == grantor;
         });
-        if (kept != old.end()) {
+        if (kept != previous.end()) {
             entry.holders.push_back(std::move(*kept));
-            old.erase(kept);
+            previous.erase(kept);
         } else {
             entry.holders.emplace_back(this->self.vm, this->self.incarnation, upstream, grantor, this->settings);
         }
     }
-    for (const auto &dropped : old) {
+    for (const auto &dropped : previous) {
         if (entry.holders.empty()) {
             return;
         }
@@ -64,15 +64,15 @@
                                TimePoint now,
                                ShareActions &actions) -> void
 {
-    const auto mine = std::find(grantors.begin(), grantors.end(), this->self);
-    if (mine == grantors.end()) {
+    const auto ownGrantor = std::find(grantors.begin(), grantors.end(), this->self);
+    if (ownGrantor == grantors.end()) {
         entry.grantor.reset();
         return;
     }
     const auto whole = Share{upstream.slots, upstream.connectionLimit};
-    const auto index = static_cast<std::size_t>(mine - grantors.begin());
-    const auto part = partOf(whole, index, grantors.size());
-    const auto early = partOf(whole, grantors.size() - 1, grantors.size());
+    const auto index = static_cast<std::size_t>(ownGrantor - grantors.begin());
+    const auto part = partOfLimit(whole, index, grantors.size());
+    const auto handoverPart = partOfLimit(whole, grantors.size() - 1, grantors.size());
     if (entry.grantor == nullptr) {
         entry.grantor = std::make_unique<ShareGrantor>(this->self, upstream.id, this->settings, now);
     }
@@ -80,26 +80,26 @@
     for (const auto &proxy : proxies) {
         ids.push_back(proxy.id);
     }
-    this->send(entry.grantor->limitChanged(part, early, std::move(ids), now), now, actions);
+    this->send(entry.grantor->limitChanged(part, handoverPart, std::move(ids), now), now, actions);
 }
 
-auto ShareTable::spread(UpstreamEntry &entry, TimePoint now, ShareActions &actions) -> void
+auto ShareTable::assignWork(UpstreamEntry &entry, TimePoint now, ShareActions &actions) -> void
 {
-    auto unplaced = entry.running;
+    auto unassigned = entry.running;
     auto running = std::vector<std::uint32_t>(entry.holders.size(), 0);
     for (auto index = std::size_t{0}; index < entry.holders.size(); ++index) {
-        running[index] = std::min(unplaced, entry.holders[index].share(now).slots);
-        unplaced -= running[index];
+        running[index] = std::min(unassigned, entry.holders[index].share(now).slots);
+        unassigned -= running[index];
     }
     // Work under a recalled or expired share is still reported as kept to the grantor that granted it.
     for (auto index = std::size_t{0}; index < entry.holders.size(); ++index) {
         const auto kept = entry.holders[index].kept();
-        const auto more = std::min(unplaced, kept - std::min(kept, running[index]));
+        const auto more = std::min(unassigned, kept - std::min(kept, running[index]));
         running[index] += more;
-        unplaced -= more;
+        unassigned -= more;
     }
     if (!running.empty()) {
-        running.front() += unplaced;
+        running.front() += unassigned;
     }
     const auto total = this->shareOf(entry, now).slots;
     for (auto index = std::size_t{0}; index < entry.holders.size(); ++index) {
@@ -119,7 +119,7 @@
     }
     found->second.running = running;
     found->second.wanted = wanted;
-    this->spread(found->second, now, actions);
+    this->assignWork(found->second, now, actions);
     this->reportChanges(now, actions);
     return actions;
 }
@@ -129,7 +129,7 @@
     auto actions = ShareActions();
     const auto found = this->upstreams.find(demand.upstream);
     if (found != this->upstreams.end() && found->second.grantor != nullptr) {
-        this->send(found->second.grantor->demanded(demand, now), now, actions);
+        this->send(found->second.grantor->handleDemand(demand, now), now, actions);
     }
     this->reportChanges(now, actions);
     return actions;
@@ -144,10 +144,10 @@
     }
     for (auto &holder : found->second.holders) {
         if (holder.grantorId() == grant.grantor) {
-            this->send(holder.granted(grant, now), now, actions);
+            this->send(holder.handleGrant(grant, now), now, actions);
         }
     }
-    this->spread(found->second, now, actions);
+    this->assignWork(found->second, now, actions);
     this->reportChanges(now, actions);
     return actions;
 }
@@ -198,7 +198,7 @@
     }
     const auto entry = this->upstreams.find(demand->upstream);
     if (entry != this->upstreams.end() && entry->second.grantor != nullptr) {
-        this->send(entry->second.grantor->demanded(*demand, now), now, actions);
+        this->send(entry->second.grantor->handleDemand(*demand, now), now, actions);
     }
 }
 
@@ -212,7 +212,7 @@
         }
         for (auto &holder : this->upstreams.at(grant.upstream).holders) {
             if (holder.grantorId() == this->self) {
-                this->send(holder.granted(grant, now), now, actions);
+                this->send(holder.handleGrant(grant, now), now, actions);
             }
         }
     }
@@ -238,10 +238,10 @@
 auto ShareTable::reportChanges(TimePoint now, ShareActions &actions) -> void
 {
     for (auto &[upstream, entry] : this->upstreams) {
-        const auto present = this->shareOf(entry, now);
-        if (present.slots != entry.told.slots || present.connections != entry.told.connections) {
-            entry.told = present;
-            actions.changes.push_back({upstream, present});
+        const auto current = this->shareOf(entry, now);
+        if (current.slots != entry.reported.slots || current.connections != entry.reported.connections) {
+            entry.reported = current;
+            actions.changes.push_back({upstream, current});
         }
     }
 }
--- a/lib/Decisions/statementqueue.cpp
+++ b/lib/Decisions/statementqueue.cpp
@@ -20,7 +20,7 @@
 
 auto StatementQueue::push(const QueuedStatement &statement) -> Ticket
 {
-    const auto ticket = ++this->last;
+    const auto ticket = ++this->lastTicket;
     this->waiting.emplace(ticket, statement);
     return ticket;
 }
@@ -60,7 +60,7 @@
 
 auto StatementQueue::isFullFor(const QueuedStatement &statement, TimePoint now, Duration wait) const -> bool
 {
-    return statement.takesSlot && (this->waiting.size() >= limit || wait > (statement.due - now) / waitPart);
+    return statement.takesSlot && (this->waiting.size() >= maximumSize || wait > (statement.due - now) / waitDivisor);
 }
 
 auto StatementQueue::size() const -> std::size_t
--- a/unittests/Decisions/loadtest.cpp
+++ b/unittests/Decisions/loadtest.cpp
@@ -31,18 +31,18 @@
         fixture.finish(fixture.lastId);
     }
     const auto firstId = fixture.lastId + 1;
-    auto told = std::optional<milliseconds>();
-    for (auto number = 0; number < 100 && !told; ++number) {
+    auto retryAfter = std::optional<milliseconds>();
+    for (auto number = 0; number < 100 && !retryAfter; ++number) {
         const auto refused = refusal(fixture.write("c" + std::to_string(number), milliseconds(100)));
         if (refused) {
             CHECK(refused->reason == RefusalReason::DeadlineUnreachable);
-            told = refused->retryAfter;
+            retryAfter = refused->retryAfter;
         }
     }
-    REQUIRE(told);
+    REQUIRE(retryAfter);
     REQUIRE(fixture.lastId < firstId + 20);
     const auto refusedCaller = "c" + std::to_string(fixture.lastId - firstId);
-    const auto back = fixture.now + *told;
+    const auto retryAt = fixture.now + *retryAfter;
     auto runningId = firstId;
     const auto serveOne = [&fixture, &runningId]() {
         fixture.now += milliseconds(10);
@@ -53,7 +53,7 @@
             }
         }
     };
-    while (fixture.now < back) {
+    while (fixture.now < retryAt) {
         serveOne();
         fixture.write("new" + std::to_string(fixture.lastId), milliseconds(100));
         fixture.write("new" + std::to_string(fixture.lastId), milliseconds(100));
@@ -103,17 +103,17 @@
 TEST_CASE("refused callers receive successive retry times")
 {
     // With the same retry time all would retry together and be refused again.
-    auto book = ReturnBook(milliseconds(1000), milliseconds(100));
+    auto reservations = ReturnBook(milliseconds(1000), milliseconds(100));
     const auto now = TimePoint(std::chrono::hours(1));
-    const auto first = book.promise(CallerId("a"), now + milliseconds(50), milliseconds(10), now);
-    const auto second = book.promise(CallerId("b"), now + milliseconds(50), milliseconds(10), now);
+    const auto first = reservations.promise(CallerId("a"), now + milliseconds(50), milliseconds(10), now);
+    const auto second = reservations.promise(CallerId("b"), now + milliseconds(50), milliseconds(10), now);
     CHECK(first == now + milliseconds(50));
     CHECK(second == now + milliseconds(60));
-    CHECK(book.due(now + milliseconds(55)) == 1);
-    CHECK_FALSE(book.redeem(CallerId("b"), now + milliseconds(50)));
-    CHECK(book.redeem(CallerId("b"), now + milliseconds(60)));
-    CHECK_FALSE(book.redeem(CallerId("b"), now + milliseconds(60)));
-    CHECK_FALSE(book.redeem(CallerId("a"), now + milliseconds(151)));
+    CHECK(reservations.due(now + milliseconds(55)) == 1);
+    CHECK_FALSE(reservations.redeem(CallerId("b"), now + milliseconds(50)));
+    CHECK(reservations.redeem(CallerId("b"), now + milliseconds(60)));
+    CHECK_FALSE(reservations.redeem(CallerId("b"), now + milliseconds(60)));
+    CHECK_FALSE(reservations.redeem(CallerId("a"), now + milliseconds(151)));
 }
 
 TEST_CASE("a caller is charged the measured time of its long statements afterwards")
@@ -167,21 +167,21 @@
 TEST_CASE("a replica ten times slower than its peers is ejected and readmitted with a slow start, and the last ones stay")
 {
     auto fixture = Fixture({}, 1);
-    const auto roundOn = [&fixture](milliseconds slow, milliseconds quick) {
+    const auto runRound = [&fixture](milliseconds slow, milliseconds fast) {
         fixture.report("r1", 10);
         fixture.report("r2", 10);
         const auto one = startedOn(fixture.tolerant(milliseconds(5000)));
         const auto oneId = fixture.lastId;
         const auto two = startedOn(fixture.tolerant(milliseconds(5000)));
         const auto twoId = fixture.lastId;
-        fixture.now += quick;
+        fixture.now += fast;
         fixture.finish(one == "r1" ? twoId : oneId);
-        fixture.now += slow - quick;
+        fixture.now += slow - fast;
         fixture.finish(one == "r1" ? oneId : twoId);
         return one + two;
     };
     for (auto round = 0; round < 12; ++round) {
-        roundOn(milliseconds(100), milliseconds(5));
+        runRound(milliseconds(100), milliseconds(5));
     }
     fixture.report("r1", 10);
     fixture.report("r2", 10);
--- a/unittests/Decisions/shareallocatortest.cpp
+++ b/unittests/Decisions/shareallocatortest.cpp
@@ -34,10 +34,10 @@
 };
 
 /// Simulates a grantor, holders and a network that loses, delays and duplicates messages.
-class World
+class Simulation
 {
 public:
-    explicit World(unsigned seed)
+    explicit Simulation(unsigned seed)
         : random(seed)
         , proxies(proxyCount)
     {
@@ -61,7 +61,7 @@
 
     auto isolate(int proxy) -> void
     {
-        this->cutOff = proxy;
+        this->isolatedProxy = proxy;
     }
 
     auto restartGrantor(bool quarantine) -> void
@@ -72,12 +72,12 @@
         for (auto index = 0; index < proxyCount; ++index) {
             names.emplace_back("p" + std::to_string(index));
         }
-        const auto began = quarantine ? this->now : this->now - this->settings.handover;
-        this->grantor = std::make_unique<ShareGrantor>(this->grantorId(), UpstreamId("u"), this->settings, began);
+        const auto start = quarantine ? this->now : this->now - this->settings.handover;
+        this->grantor = std::make_unique<ShareGrantor>(this->grantorId(), UpstreamId("u"), this->settings, start);
         this->send(this->grantor->limitChanged(limit, limit, std::move(names), this->now));
     }
 
-    auto slotsUsed() const -> std::size_t
+    auto usedSlots() const -> std::size_t
     {
         auto used = std::size_t{0};
         for (const auto &proxy : this->proxies) {
@@ -111,8 +111,8 @@
 
     auto lost(const VmId &proxy) -> bool
     {
-        const auto silent = this->cutOff && proxy == VmId("p" + std::to_string(*this->cutOff));
-        return silent || (this->lossy && this->draw(10) == 0);
+        const auto isIsolated = this->isolatedProxy && proxy == VmId("p" + std::to_string(*this->isolatedProxy));
+        return isIsolated || (this->lossy && this->draw(10) == 0);
     }
 
     auto delay() -> TimePoint
@@ -149,13 +149,13 @@
         while (!this->demands.empty() && this->demands.begin()->first <= this->now) {
             const auto demand = this->demands.begin()->second;
             this->demands.erase(this->demands.begin());
-            this->send(this->grantor->demanded(demand, this->now));
+            this->send(this->grantor->handleDemand(demand, this->now));
         }
         while (!this->grants.empty() && this->grants.begin()->first <= this->now) {
             const auto grant = this->grants.begin()->second;
             this->grants.erase(this->grants.begin());
             const auto index = std::stoi(grant.proxy.value().substr(1));
-            this->send(this->proxies[index].holder->granted(grant, this->now));
+            this->send(this->proxies[index].holder->handleGrant(grant, this->now));
         }
     }
 
@@ -168,7 +168,7 @@
             this->restartProxy(static_cast<int>(this->draw(proxyCount)));
         }
         if (this->draw(500) == 0) {
-            this->cutOff = this->cutOff ? std::nullopt : std::optional<int>(this->draw(proxyCount));
+            this->isolatedProxy = this->isolatedProxy ? std::nullopt : std::optional<int>(this->draw(proxyCount));
         }
         if (this->draw(2000) == 0) {
             this->restartGrantor(true);
@@ -176,10 +176,10 @@
     }
 
     /// The view with the grantor's new process reaches each proxy at a different time, and not an isolated one.
-    auto learnGrantor(int index) -> void
+    auto discoverGrantor(int index) -> void
     {
         auto &proxy = this->proxies[index];
-        if (proxy.holder->grantorId() == this->grantorId() || this->cutOff == index || this->draw(100) != 0) {
+        if (proxy.holder->grantorId() == this->grantorId() || this->isolatedProxy == index || this->draw(100) != 0) {
             return;
         }
         const auto name = VmId("p" + std::to_string(index));
@@ -190,7 +190,7 @@
 
     auto work(int index) -> void
     {
-        this->learnGrantor(index);
+        this->discoverGrantor(index);
         auto &proxy = this->proxies[index];
         const auto ended = std::erase_if(proxy.running, [this](TimePoint end) {
             return end <= this->now;
@@ -201,8 +201,8 @@
             proxy.wanted = this->draw(4);
         }
         while (proxy.running.size() < std::min(proxy.wanted, proxy.holder->share(this->now).slots)) {
-            const auto longOne = this->lossy && this->draw(10) == 0;
-            proxy.running.push_back(this->now + milliseconds(longOne ? this->settings.startGuard.count() : 5 + this->draw(10)));
+            const auto isLong = this->lossy && this->draw(10) == 0;
+            proxy.running.push_back(this->now + milliseconds(isLong ? this->settings.startGuard.count() : 5 + this->draw(10)));
         }
         const auto running = static_cast<std::uint32_t>(proxy.running.size());
         this->send(proxy.holder->workChanged(running, std::max(proxy.wanted, running), this->now));
@@ -230,7 +230,7 @@
     std::multimap<TimePoint, ShareGrant> grants;
     std::uint64_t incarnations = 0;
     std::uint64_t grantorProcesses = 0;
-    std::optional<int> cutOff;
+    std::optional<int> isolatedProxy;
 };
 
 auto holdsFor(const std::string &name, const std::function<void(unsigned)> &property, int runs) -> bool
@@ -257,10 +257,10 @@
     CHECK(holdsFor(
         "sum of shares",
         [](unsigned seed) {
-            auto world = World(seed);
-            world.lossy = true;
+            auto simulation = Simulation(seed);
+            simulation.lossy = true;
             for (auto step = 0; step < 4000; ++step) {
-                world.step();
+                simulation.step();
             }
         },
         100));
@@ -268,11 +268,11 @@
 
 TEST_CASE("shares follow demand without starving any proxy")
 {
-    auto world = World(7);
+    auto simulation = Simulation(7);
     for (auto step = 0; step < 4000; ++step) {
-        world.step();
+        simulation.step();
     }
-    const auto [least, most] = std::minmax_element(world.finishedBy.begin(), world.finishedBy.end());
+    const auto [least, most] = std::minmax_element(simulation.finishedBy.begin(), simulation.finishedBy.end());
     CHECK(*least * 2 > *most);
 }
 
@@ -280,20 +280,20 @@
 {
     // One proxy of six becomes unresponsive while it holds slots. Its slots are unused until its grants expire by the grantor's clock;
     // after that the other proxies have all slots.
-    auto world = World(7);
+    auto simulation = Simulation(7);
     for (auto step = 0; step < 500; ++step) {
-        world.step();
+        simulation.step();
     }
-    world.isolate(0);
+    simulation.isolate(0);
     for (auto step = 0; step < 3000; ++step) {
-        world.step();
+        simulation.step();
     }
-    const auto before = world.finished;
+    const auto before = simulation.finished;
     for (auto step = 0; step < 1000; ++step) {
-        world.step();
+        simulation.step();
     }
-    const auto whole = world.finished - before;
-    auto reference = World(7);
+    const auto whole = simulation.finished - before;
+    auto reference = Simulation(7);
     for (auto step = 0; step < 1000; ++step) {
         reference.step();
     }
@@ -312,13 +312,13 @@
     REQUIRE(demand);
     auto grantor = ShareGrantor(grantorId, UpstreamId("u"), settings, sent - settings.handover);
     grantor.limitChanged({1, 10}, {1, 10}, {VmId("p0"), VmId("p1")}, sent);
-    const auto grants = grantor.demanded(*demand, sent);
+    const auto grants = grantor.handleDemand(*demand, sent);
     REQUIRE(grants.size() == 1);
-    holder.granted(grants.front(), sent + milliseconds(2000));
+    holder.handleGrant(grants.front(), sent + milliseconds(2000));
     CHECK(holder.share(sent + milliseconds(2000)).slots == 1);
 
     auto other = ShareHolder(VmId("p1"), Incarnation(2), UpstreamId("u"), grantorId, settings);
-    grantor.demanded(*other.workChanged(0, 1, sent), sent + milliseconds(100));
+    grantor.handleDemand(*other.workChanged(0, 1, sent), sent + milliseconds(100));
     auto lastStart = sent;
     while (holder.share(lastStart).slots > 0) {
         lastStart += milliseconds(1);
@@ -342,12 +342,12 @@
 
     // A demand to the grantor's earlier process may have an answer in flight, so it does not count as a report of what is kept.
     auto unaware = ShareHolder(VmId("p0"), Incarnation(1), UpstreamId("u"), {VmId("g"), Incarnation(1)}, settings);
-    CHECK(grantor.demanded(*unaware.workChanged(0, 2, start), start).empty());
+    CHECK(grantor.handleDemand(*unaware.workChanged(0, 2, start), start).empty());
     CHECK(grantor.tick(start + settings.startGuard).empty());
 
     const auto heard = start + settings.startGuard;
     auto aware = ShareHolder(VmId("p0"), Incarnation(1), UpstreamId("u"), second, settings);
-    CHECK(grantor.demanded(*aware.workChanged(0, 2, heard), heard).empty());
+    CHECK(grantor.handleDemand(*aware.workChanged(0, 2, heard), heard).empty());
     CHECK(grantor.tick(heard + settings.startGuard - milliseconds(1)).empty());
     const auto early = grantor.tick(heard + settings.startGuard);
     REQUIRE(early.size() == 1);
@@ -357,8 +357,8 @@
 TEST_CASE("the grantors' parts add up to the limit")
 {
     for (auto slots = 0U; slots < 9; ++slots) {
-        const auto first = partOf({slots, 35}, 0, 2);
-        const auto second = partOf({slots, 35}, 1, 2);
+        const auto first = partOfLimit({slots, 35}, 0, 2);
+        const auto second = partOfLimit({slots, 35}, 1, 2);
         CHECK(first.slots + second.slots == slots);
         CHECK(first.connections + second.connections == 35);
     }
--- a/unittests/Decisions/statementqueuetest.cpp
+++ b/unittests/Decisions/statementqueuetest.cpp
@@ -23,7 +23,7 @@
     double perSecond = 0;
     Duration work{};
     Duration objective{};
-    Duration patience{};
+    Duration waitLimit{};
     std::uint32_t priority = 0;
 };
 
@@ -106,7 +106,7 @@
     auto expire(TimePoint now) -> void
     {
         std::erase_if(this->waiting, [this, now](const auto &entry) {
-            const auto isOver = now - entry.second.since > entry.second.kind.patience;
+            const auto isOver = now - entry.second.since > entry.second.kind.waitLimit;
             if (isOver) {
                 this->queue.erase(entry.first);
             }
