--- a/unittests/Decisions/shareallocatortest.cpp
+++ b/unittests/Decisions/shareallocatortest.cpp
@@ -345,11 +345,11 @@
     CHECK(grantor.handleDemand(*unaware.workChanged(0, 2, start), start).empty());
     CHECK(grantor.tick(start + settings.startGuard).empty());
 
-    const auto heard = start + settings.startGuard;
+    const auto reportedAt = start + settings.startGuard;
     auto aware = ShareHolder(VmId("p0"), Incarnation(1), UpstreamId("u"), second, settings);
-    CHECK(grantor.handleDemand(*aware.workChanged(0, 2, heard), heard).empty());
-    CHECK(grantor.tick(heard + settings.startGuard - milliseconds(1)).empty());
-    const auto early = grantor.tick(heard + settings.startGuard);
+    CHECK(grantor.handleDemand(*aware.workChanged(0, 2, reportedAt), reportedAt).empty());
+    CHECK(grantor.tick(reportedAt + settings.startGuard - milliseconds(1)).empty());
+    const auto early = grantor.tick(reportedAt + settings.startGuard);
     REQUIRE(early.size() == 1);
     CHECK(early.front().share.slots == 1);
 }
--- a/unittests/Decisions/statementqueuetest.cpp
+++ b/unittests/Decisions/statementqueuetest.cpp
@@ -186,8 +186,8 @@
 {
     auto queue = StatementQueue();
     const auto statement = ticketOf(queue, 0, 10ms);
-    const auto question = ticketOf(queue, 2, 10ms, false);
-    CHECK(queue.pop(TimePoint{}, 1ms, false) == question);
+    const auto withoutSlot = ticketOf(queue, 2, 10ms, false);
+    CHECK(queue.pop(TimePoint{}, 1ms, false) == withoutSlot);
     CHECK_FALSE(queue.pop(TimePoint{}, 1ms, false));
     queue.erase(statement);
     CHECK(queue.size() == 0);
