--- a/benchmarks/decisionsbenchmark.cpp
+++ b/benchmarks/decisionsbenchmark.cpp
@@ -39,7 +39,7 @@
 /// One round: the work that runs longest ends, the next starts, and a new one joins the queue.
 auto decide(benchmark::State &state, DispatcherSettings settings) -> void
 {
-    settings.admission.returnFraction = 1;
+    settings.admission.reservedWaitFraction = 1;
     const auto dispatcher = makeDispatcher(settings);
     auto now = TimePoint(std::chrono::hours(1));
     dispatcher->viewChanged(view(), now);
--- a/include/sapphirespool/Decisions/dependencyguard.h
+++ b/include/sapphirespool/Decisions/dependencyguard.h
@@ -23,11 +23,11 @@
     auto recordRefused(TimePoint now, Duration retryAfter) -> void;
 
     /// \return whether the service refused too large a fraction of its requests in the last complete window
-    [[nodiscard]] auto refusing(TimePoint now) -> bool;
+    [[nodiscard]] auto isRefusing(TimePoint now) -> bool;
 
     /// Admits one request in probeEvery as a probe: without requests to the service its recovery would go unnoticed.
     /// \return whether this request is the probe
-    [[nodiscard]] auto probe() -> bool;
+    [[nodiscard]] auto tryProbe() -> bool;
 
     /// \return the retry delay of the service's latest refusal
     [[nodiscard]] auto retryAfter() const -> Duration;
--- a/include/sapphirespool/Decisions/forwardrouter.h
+++ b/include/sapphirespool/Decisions/forwardrouter.h
@@ -26,10 +26,10 @@
     [[nodiscard]] auto choose(const membership::GroupView &group, const Work &work, TimePoint now) const -> std::optional<UpstreamId>;
 
     /// Records that work was forwarded.
-    auto sent(const UpstreamId &upstream) -> void;
+    auto recordSent(const UpstreamId &upstream) -> void;
 
     /// Records the end of forwarded work. \param latency time until the answer, or the wait that a refusal stated
-    auto ended(const UpstreamId &upstream, Duration latency, TimePoint now) -> void;
+    auto recordEnded(const UpstreamId &upstream, Duration latency, TimePoint now) -> void;
 
 private:
     struct LatencyRecord
--- a/include/sapphirespool/Decisions/groupscheduler.h
+++ b/include/sapphirespool/Decisions/groupscheduler.h
@@ -4,7 +4,7 @@
 #include "sapphirespool/Decisions/brownout.h"
 #include "sapphirespool/Decisions/dispatcher.h"
 #include "sapphirespool/Decisions/fairqueue.h"
-#include "sapphirespool/Decisions/returnbook.h"
+#include "sapphirespool/Decisions/retryreservations.h"
 #include "sapphirespool/Decisions/settings.h"
 #include "sapphirespool/Decisions/slotguard.h"
 #include "sapphirespool/Decisions/upstreamstate.h"
@@ -163,7 +163,7 @@
     Timers primaryAllowedTimers;
     std::set<UpstreamId> ejected;
     Brownout brownout;
-    std::array<ReturnBook, laneCount> retryReservations;
+    std::array<RetryReservations, laneCount> retryReservations;
     std::optional<TimePoint> primaryLostAt;
     /// Fraction of the primary's recent starts that only it could serve: writes and current reads.
     double primaryOnlyFraction = 0;
--- a/include/sapphirespool/Decisions/returnbook.h
+++ b/include/sapphirespool/Decisions/retryreservations.h
@@ -1,4 +1,4 @@
-// returnbook.h: retry reservations of refused callers.
+// retryreservations.h: retry reservations of refused callers.
 #pragma once
 
 #include "sapphirespool/Decisions/dispatcher.h"
@@ -17,23 +17,23 @@
 /// Without reservations all refused callers receive the same time, retry together and are refused again although they followed it.
 /// Each refusal reserves the next time of a schedule that advances at the group's service rate. Admission of new work leaves room for
 /// reservations that are due.
-class ReturnBook
+class RetryReservations
 {
 public:
     /// \param maximumDelay maximum time from now to a reservation
     /// \param grace time after which an unused reservation expires
-    ReturnBook(Duration maximumDelay, Duration grace);
+    RetryReservations(Duration maximumDelay, Duration grace);
 
     /// Reserves the next time for \p caller, not before \p earliest and at least \p spacing after the last reservation.
     /// \return when to retry; without a reservation if that is the maximum time from now
-    auto promise(const CallerId &caller, TimePoint earliest, Duration spacing, TimePoint now) -> TimePoint;
+    auto makeReservation(const CallerId &caller, TimePoint earliest, Duration spacing, TimePoint now) -> TimePoint;
 
     /// Uses the caller's first reservation if it is due.
     /// \return whether there was one
-    auto redeem(const CallerId &caller, TimePoint now) -> bool;
+    auto takeReservation(const CallerId &caller, TimePoint now) -> bool;
 
     /// \return number of reservations that are due by \p until, including used ones that are listed behind an unused one
-    [[nodiscard]] auto due(TimePoint until) const -> std::size_t;
+    [[nodiscard]] auto countDue(TimePoint until) const -> std::size_t;
 
     /// Drops reservations whose grace time has passed.
     auto expire(TimePoint now) -> void;
--- a/include/sapphirespool/Decisions/settings.h
+++ b/include/sapphirespool/Decisions/settings.h
@@ -45,15 +45,15 @@
     /// 0.4, and 97.4 % at 0.6.
     double waitFraction = 0.4;
     /// The same for a caller that retries at its reserved time; larger, so that a queue filled by new work still has room for it.
-    double returnFraction = 0.5;
+    double reservedWaitFraction = 0.5;
     /// Fraction of the allowed wait that new work may fill regardless of retry reservations.
     double unreservedFraction = 0.7;
     /// Maximum delay of a retry reservation; clients do not wait longer to retry.
     std::chrono::milliseconds longestRetryAfter{30'000};
     /// Expected time without a primary until a replica is promoted.
-    std::chrono::milliseconds expectedGap{1000};
+    std::chrono::milliseconds expectedPromotionTime{1000};
     /// A retry reservation expires this long after its time.
-    std::chrono::milliseconds returnGrace{500};
+    std::chrono::milliseconds reservationGrace{500};
 };
 
 /// Routing of reads.
@@ -63,12 +63,12 @@
     bool enabled = true;
     /// Fraction of the time until the deadline that a read waits for a replica before the primary may serve it. Smaller values send
     /// fewer reads to replicas, larger ones make reads miss their deadlines.
-    double replicaPatience = 0.25;
+    double replicaWaitFraction = 0.25;
     /// Upper bound of that wait, regardless of the deadline.
-    std::chrono::milliseconds longestPatience{100};
+    std::chrono::milliseconds maximumReplicaWait{100};
     /// Assumed one-way latency to another availability zone, added to the expected service time in both directions; 1 and 1.5 ms in the
     /// deployments.
-    std::chrono::microseconds otherZone{1500};
+    std::chrono::microseconds otherZoneLatency{1500};
 };
 
 /// Ejection of upstreams that are slow or fail.
--- a/lib/Decisions/dependencyguard.cpp
+++ b/lib/Decisions/dependencyguard.cpp
@@ -35,13 +35,13 @@
     this->lastRetryAfter = retryAfter;
 }
 
-auto DependencyGuard::refusing(TimePoint now) -> bool
+auto DependencyGuard::isRefusing(TimePoint now) -> bool
 {
     this->rollWindow(now);
     return this->settings.enabled && this->refusedLastWindow;
 }
 
-auto DependencyGuard::probe() -> bool
+auto DependencyGuard::tryProbe() -> bool
 {
     ++this->requestsWhileRefusing;
     return this->requestsWhileRefusing % this->settings.probeEvery == 0;
--- a/lib/Decisions/forwardrouter.cpp
+++ b/lib/Decisions/forwardrouter.cpp
@@ -65,12 +65,12 @@
     return spill ? group.primary : std::optional(best->id);
 }
 
-auto ForwardRouter::sent(const UpstreamId &upstream) -> void
+auto ForwardRouter::recordSent(const UpstreamId &upstream) -> void
 {
     ++this->records[upstream].inFlight;
 }
 
-auto ForwardRouter::ended(const UpstreamId &upstream, Duration latency, TimePoint now) -> void
+auto ForwardRouter::recordEnded(const UpstreamId &upstream, Duration latency, TimePoint now) -> void
 {
     auto &record = this->records[upstream];
     assert(record.inFlight > 0 && "the work was forwarded");
--- a/lib/Decisions/groupadmission.cpp
+++ b/lib/Decisions/groupadmission.cpp
@@ -77,7 +77,7 @@
     if (primary == nullptr) {
         const auto elapsed = this->primaryLostAt ? now - *this->primaryLostAt : Duration::zero();
         // After the expected time the remaining time is unknown; half of the expected time is assumed.
-        const auto gap = std::max<Duration>(this->settings.admission.expectedGap - elapsed, this->settings.admission.expectedGap / 2);
+        const auto gap = std::max<Duration>(this->settings.admission.expectedPromotionTime - elapsed, this->settings.admission.expectedPromotionTime / 2);
         return {.wait = gap + service * this->entriesAheadOnPrimary(work.caller, lane, now), .spacing = service};
     }
     const auto state = std::find_if(this->members.begin(), this->members.end(), [this](const auto &member) {
@@ -132,8 +132,8 @@
     }
     const auto budget = std::min(scaled(allowed, admission.waitFraction), allowed - service);
     auto &reservations = this->retryReservations[static_cast<std::size_t>(lane)];
-    if (reservations.redeem(work.caller, now)) {
-        return estimate.wait <= std::min(scaled(allowed, admission.returnFraction), allowed - service);
+    if (reservations.takeReservation(work.caller, now)) {
+        return estimate.wait <= std::min(scaled(allowed, admission.reservedWaitFraction), allowed - service);
     }
     if (estimate.wait > budget || this->exceedsCallerShare(work, lane, estimate, budget)) {
         return false;
@@ -141,7 +141,7 @@
     if (estimate.wait <= scaled(budget, admission.unreservedFraction)) {
         return true;
     }
-    return estimate.wait + estimate.spacing * reservations.due(now + budget) <= budget;
+    return estimate.wait + estimate.spacing * reservations.countDue(now + budget) <= budget;
 }
 
 auto GroupScheduler::queueLimitRefusal(const Work &work, Lane lane, std::uint32_t queueLimit) const -> std::optional<RefusalReason>
@@ -170,7 +170,7 @@
     const auto allowed = std::max(work.deadline - now, Duration::zero());
     const auto budget = scaled(allowed, this->settings.admission.waitFraction);
     const auto earliest = now + std::max(estimate.wait - budget, estimate.spacing);
-    const auto at = this->retryReservations[static_cast<std::size_t>(lane)].promise(work.caller, earliest, estimate.spacing, now);
+    const auto at = this->retryReservations[static_cast<std::size_t>(lane)].makeReservation(work.caller, earliest, estimate.spacing, now);
     return at - now;
 }
 
--- a/lib/Decisions/groupplacing.cpp
+++ b/lib/Decisions/groupplacing.cpp
@@ -85,7 +85,7 @@
 {
     const auto seconds = std::chrono::duration<double>(upstream.service.mean()).count();
     const auto slots = std::max(1U, upstream.share.slots);
-    const auto zone = upstream.view.zone == this->settings.zone ? 0.0 : std::chrono::duration<double>(this->settings.routing.otherZone).count();
+    const auto zone = upstream.view.zone == this->settings.zone ? 0.0 : std::chrono::duration<double>(this->settings.routing.otherZoneLatency).count();
     return seconds * (1.0 + static_cast<double>(upstream.running) / slots) + 2 * zone;
 }
 
--- a/lib/Decisions/groupscheduler.cpp
+++ b/lib/Decisions/groupscheduler.cpp
@@ -21,9 +21,9 @@
     return {FairQueue(settings, level), FairQueue(settings, level), FairQueue(settings, level)};
 }
 
-auto makeRetryReservations(const AdmissionSettings &settings) -> std::array<ReturnBook, laneCount>
+auto makeRetryReservations(const AdmissionSettings &settings) -> std::array<RetryReservations, laneCount>
 {
-    const auto reservations = ReturnBook(settings.longestRetryAfter, settings.returnGrace);
+    const auto reservations = RetryReservations(settings.longestRetryAfter, settings.reservationGrace);
     return {reservations, reservations, reservations};
 }
 
@@ -154,8 +154,8 @@
     const auto allowed = queued.deadline - now;
     const auto service = this->slotTimes[static_cast<std::size_t>(lane)].mean();
     entry.latestStart = this->settings.admission.enabled && service < allowed ? queued.deadline - service : queued.deadline;
-    const auto replicaWaitLimit = std::chrono::duration_cast<Duration>(allowed * this->settings.routing.replicaPatience);
-    entry.primaryAllowedAt = now + std::min<Duration>(replicaWaitLimit, this->settings.routing.longestPatience);
+    const auto replicaWaitLimit = std::chrono::duration_cast<Duration>(allowed * this->settings.routing.replicaWaitFraction);
+    entry.primaryAllowedAt = now + std::min<Duration>(replicaWaitLimit, this->settings.routing.maximumReplicaWait);
     const auto id = queued.id;
     ++this->waitingByService[queued.service];
     this->expiries.emplace(entry.latestStart, id);
--- a/lib/Decisions/loaddispatcher.cpp
+++ b/lib/Decisions/loaddispatcher.cpp
@@ -136,7 +136,7 @@
 {
     for (const auto &dependency : service.dependsOn) {
         auto &state = this->serviceState(dependency);
-        if (state.guard.refusing(now) && !state.guard.probe()) {
+        if (state.guard.isRefusing(now) && !state.guard.tryProbe()) {
             return &state;
         }
     }
--- a/lib/Decisions/returnbook.cpp
+++ b/lib/Decisions/retryreservations.cpp
@@ -1,4 +1,4 @@
-#include "sapphirespool/Decisions/returnbook.h"
+#include "sapphirespool/Decisions/retryreservations.h"
 
 #include <algorithm>
 
@@ -13,13 +13,13 @@
 
 } // namespace
 
-ReturnBook::ReturnBook(Duration maximumDelay, Duration grace)
+RetryReservations::RetryReservations(Duration maximumDelay, Duration grace)
     : maximumDelay(maximumDelay)
     , grace(grace)
 {
 }
 
-auto ReturnBook::promise(const CallerId &caller, TimePoint earliest, Duration spacing, TimePoint now) -> TimePoint
+auto RetryReservations::makeReservation(const CallerId &caller, TimePoint earliest, Duration spacing, TimePoint now) -> TimePoint
 {
     this->expire(now);
     const auto at = std::max(earliest, this->lastReservation + spacing);
@@ -33,7 +33,7 @@
     return at;
 }
 
-auto ReturnBook::redeem(const CallerId &caller, TimePoint now) -> bool
+auto RetryReservations::takeReservation(const CallerId &caller, TimePoint now) -> bool
 {
     this->expire(now);
     const auto found = this->byCaller.find(caller);
@@ -57,7 +57,7 @@
     return true;
 }
 
-auto ReturnBook::due(TimePoint until) const -> std::size_t
+auto RetryReservations::countDue(TimePoint until) const -> std::size_t
 {
     const auto end = std::upper_bound(this->reservations.begin(), this->reservations.end(), until, [](TimePoint time, const Reservation &reservation) {
         return time < reservation.at;
@@ -65,7 +65,7 @@
     return static_cast<std::size_t>(end - this->reservations.begin());
 }
 
-auto ReturnBook::expire(TimePoint now) -> void
+auto RetryReservations::expire(TimePoint now) -> void
 {
     while (!this->reservations.empty() && (this->reservations.front().used || this->reservations.front().at + this->grace < now)) {
         const auto reservation = this->reservations.front();
--- a/lib/LoadModel/model.cpp
+++ b/lib/LoadModel/model.cpp
@@ -152,7 +152,7 @@
     if (!request.target) {
         return this->groupOwner(request.group);
     }
-    router.sent(*request.target);
+    router.recordSent(*request.target);
     return this->zoneOwner(*group.findMember(*request.target));
 }
 
--- a/lib/LoadModel/modelcallers.cpp
+++ b/lib/LoadModel/modelcallers.cpp
@@ -120,7 +120,7 @@
 auto Model::leaveOwner(const Request &request, Duration latency) -> void
 {
     if (request.target && request.attempt == 0) {
-        this->proxies[request.entry].router.ended(*request.target, latency, this->events.now());
+        this->proxies[request.entry].router.recordEnded(*request.target, latency, this->events.now());
     }
 }
 
--- a/tools/loadmodel/scenarios.cpp
+++ b/tools/loadmodel/scenarios.cpp
@@ -306,8 +306,8 @@
             settings.admission.waitFraction *= factor < 1 ? 0.5 : 1.5;
         });
         add("replica patience (100 ms)", [scale, factor](auto &settings) {
-            settings.routing.replicaPatience *= factor;
-            scale(settings.routing.longestPatience);
+            settings.routing.replicaWaitFraction *= factor;
+            scale(settings.routing.maximumReplicaWait);
         });
         add("slow factor (4)", [factor](auto &settings) {
             settings.ejection.slowFactor *= factor;
--- a/unittests/Decisions/loadtest.cpp
+++ b/unittests/Decisions/loadtest.cpp
@@ -3,7 +3,7 @@
 #include "sapphirespool/Decisions/brownout.h"
 #include "sapphirespool/Decisions/dependencyguard.h"
 #include "sapphirespool/Decisions/fairqueue.h"
-#include "sapphirespool/Decisions/returnbook.h"
+#include "sapphirespool/Decisions/retryreservations.h"
 #include "sapphirespool/Decisions/upstreamstate.h"
 
 #include <catch2/catch.hpp>
@@ -103,17 +103,17 @@
 TEST_CASE("refused callers receive successive retry times")
 {
     // With the same retry time all would retry together and be refused again.
-    auto reservations = ReturnBook(milliseconds(1000), milliseconds(100));
+    auto reservations = RetryReservations(milliseconds(1000), milliseconds(100));
     const auto now = TimePoint(std::chrono::hours(1));
-    const auto first = reservations.promise(CallerId("a"), now + milliseconds(50), milliseconds(10), now);
-    const auto second = reservations.promise(CallerId("b"), now + milliseconds(50), milliseconds(10), now);
+    const auto first = reservations.makeReservation(CallerId("a"), now + milliseconds(50), milliseconds(10), now);
+    const auto second = reservations.makeReservation(CallerId("b"), now + milliseconds(50), milliseconds(10), now);
     CHECK(first == now + milliseconds(50));
     CHECK(second == now + milliseconds(60));
-    CHECK(reservations.due(now + milliseconds(55)) == 1);
-    CHECK_FALSE(reservations.redeem(CallerId("b"), now + milliseconds(50)));
-    CHECK(reservations.redeem(CallerId("b"), now + milliseconds(60)));
-    CHECK_FALSE(reservations.redeem(CallerId("b"), now + milliseconds(60)));
-    CHECK_FALSE(reservations.redeem(CallerId("a"), now + milliseconds(151)));
+    CHECK(reservations.countDue(now + milliseconds(55)) == 1);
+    CHECK_FALSE(reservations.takeReservation(CallerId("b"), now + milliseconds(50)));
+    CHECK(reservations.takeReservation(CallerId("b"), now + milliseconds(60)));
+    CHECK_FALSE(reservations.takeReservation(CallerId("b"), now + milliseconds(60)));
+    CHECK_FALSE(reservations.takeReservation(CallerId("a"), now + milliseconds(151)));
 }
 
 TEST_CASE("a caller is charged the measured time of its long statements afterwards")
@@ -283,16 +283,16 @@
     };
     fill(20, 30);
     now += milliseconds(1000);
-    CHECK(guard.refusing(now));
+    CHECK(guard.isRefusing(now));
     CHECK(guard.retryAfter() == milliseconds(70));
     auto probes = 0;
     for (auto count = 0; count < 100; ++count) {
-        probes += guard.probe() ? 1 : 0;
+        probes += guard.tryProbe() ? 1 : 0;
     }
     CHECK(probes == 10);
     fill(30, 2);
     now += milliseconds(1000);
-    CHECK_FALSE(guard.refusing(now));
+    CHECK_FALSE(guard.isRefusing(now));
 }
 
 TEST_CASE("brownout sheds reads in order of the age they accept, and recovers one step at a time without oscillating")
