--- a/include/sapphirespool/Interactive/reply.h
+++ b/include/sapphirespool/Interactive/reply.h
@@ -1,4 +1,4 @@
-// reply.h: what a caller's session gets back.
+// reply.h: replies to the statements of a caller's session.
 #pragma once
 
 #include "sapphirespool/Interactive/position.h"
@@ -13,7 +13,7 @@
 namespace sapphirespool::interactive
 {
 
-/// Where a session stands after a reply.
+/// Transaction state of a session after a reply.
 enum class TransactionStatus : std::uint8_t {
     None,
     Open,
@@ -23,48 +23,48 @@
 
 /// Why a statement failed.
 enum class Failure : std::uint8_t {
-    /// Nothing was run: no slot, connection or upstream was free in time.
+    /// Nothing was run: no slot, connection or upstream became available in time.
     Busy,
     /// The transaction was rolled back.
     Aborted,
-    /// Nothing was run: the upstream's data is too old.
+    /// Nothing was run: the replica has not applied the log position that the read requires.
     Lagging,
-    /// Nothing was run: the upstream is no primary.
+    /// Nothing was run: the upstream is not the primary. Also the failure of a write in a read-only transaction.
     ReadOnly,
-    /// Nothing was run: another upstream has the address.
+    /// Nothing was run: the address now belongs to another upstream.
     WrongUpstream,
-    /// Nothing was run: the upstream takes no further connection.
+    /// Nothing was run: the upstream has reached its connection limit.
     ConnectionLimit,
-    /// Nothing was run: no connection to the upstream came about, or it broke before anything was sent.
+    /// Nothing was run: the connection to the upstream could not be opened, or it broke before anything was sent.
     Unreachable,
-    /// A write or a commit was sent, and its answer did not come: it may have taken effect.
+    /// A write or a commit was sent and its answer was lost: it may have taken effect.
     InDoubt,
-    /// A read was sent, and no answer came in time.
+    /// A read was sent, and no answer arrived before its deadline.
     TimedOut,
-    /// The upstream ran the statement and reports a failure.
+    /// The upstream ran the statement and reported an error.
     Failed,
-    /// The statement does not fit the state of the session, or cannot be read.
+    /// The statement is not valid in the session's state, or cannot be parsed.
     Malformed,
     UnknownDatabase,
-    /// The prepared name is unknown.
+    /// No statement was prepared under the given name.
     UnknownName,
 };
 
-/// \return a word for logs and counters
+/// \return the label of \p failure in logs and metrics
 [[nodiscard]] auto name(Failure failure) -> std::string_view;
 
-/// \return whether nothing of the statement, nor of its transaction, can have been kept
+/// \return whether \p failure guarantees that neither the statement nor its transaction has taken effect
 [[nodiscard]] auto promisesNothingKept(Failure failure) -> bool;
 
-/// How a statement failed, for the caller.
+/// Failure of a statement, as the caller receives it.
 struct FailureReply
 {
     Failure failure = Failure::Busy;
-    /// What happened, lower case, without a full stop.
+    /// Error message in lower case, without a full stop.
     std::string detail;
-    /// When another attempt has a chance, if that is known.
+    /// Delay before a retry may succeed, if it is known.
     std::optional<std::chrono::milliseconds> retryAfter = {};
-    /// Where the upstream's data is too old: how far it has come.
+    /// For Failure::Lagging: the position up to which the upstream has applied the log.
     std::optional<DataPosition> held = {};
 };
 
@@ -72,11 +72,11 @@
 struct Reply
 {
     std::vector<std::string> rows;
-    /// The upstream's signature of its answer; empty where no upstream answered.
+    /// The upstream's signature of its answer; empty if no upstream answered.
     std::string signature;
     std::optional<FailureReply> failure;
     TransactionStatus status = TransactionStatus::None;
-    /// End of the upstream's log when it answered.
+    /// End of the upstream's log at the time of its answer.
     std::optional<DataPosition> position;
 };
 
--- a/include/sapphirespool/Interactive/session.h
+++ b/include/sapphirespool/Interactive/session.h
@@ -1,4 +1,4 @@
-// session.h: long-lived sessions of callers over links that they share.
+// session.h: long-lived caller sessions multiplexed over shared upstream connections.
 #pragma once
 
 #include "sapphirespool/Interactive/linkpool.h"
@@ -20,8 +20,8 @@
 namespace sapphirespool::interactive
 {
 
-/// One caller's session: values, prepared names, at most one transaction. It holds a link only while a statement or a transaction
-/// runs, so that thousands of sessions share a handful of links. One statement at a time.
+/// One caller's session: its values, its prepared names and at most one transaction. It holds an upstream connection only while a
+/// statement or a transaction runs, so that thousands of sessions share a handful of connections. It runs one statement at a time.
 class Session
 {
 public:
@@ -32,26 +32,26 @@
 
     virtual auto execute(Statement statement) -> boost::asio::awaitable<Reply> = 0;
 
-    /// The caller is gone: an open transaction is rolled back.
+    /// Ends the session after the caller has disconnected. An open transaction is rolled back.
     virtual auto end() -> void = 0;
 
     [[nodiscard]] virtual auto status() const -> TransactionStatus = 0;
 };
 
-/// A session, or why there is none.
+/// The opened session, or why none could be opened.
 using OpenResult = std::variant<std::shared_ptr<Session>, FailureReply>;
 
-/// What the sessions are doing.
+/// Current numbers of sessions, statements and transactions.
 struct SessionCounts
 {
     std::size_t sessions = 0;
-    /// Statements that run or wait.
+    /// Statements that are running or waiting.
     std::size_t statements = 0;
-    /// Transactions that hold a link.
+    /// Transactions that hold an upstream connection.
     std::size_t transactions = 0;
 };
 
-/// Takes note of what happens to statements. Calls come on the dispatch thread.
+/// Receives the outcomes of statements, for metrics. Called on the dispatch thread.
 class SessionRecorder
 {
 public:
@@ -60,14 +60,14 @@
     auto operator=(const SessionRecorder &) -> SessionRecorder & = delete;
     virtual ~SessionRecorder() = default;
 
-    /// A statement got its answer from an upstream.
+    /// An upstream answered a statement.
     virtual auto served(const ServiceId &service, Access access, bool byPrimary, Duration latency) -> void = 0;
     virtual auto refused(const ServiceId &service, Failure failure) -> void = 0;
-    /// A statement that had not run was tried again.
+    /// A statement that had not run is retried.
     virtual auto retried(const ServiceId &service, Failure because) -> void = 0;
 };
 
-/// Sessions of one proxy. All calls come on its executor.
+/// Sessions of one proxy. All calls must be made on its executor.
 class SessionService
 {
 public:
@@ -79,27 +79,27 @@
     /// \param database name under which the caller knows a service
     [[nodiscard]] virtual auto open(std::string_view database) -> OpenResult = 0;
 
-    /// Waits until a proxy that has just started has its first view, for a moment at most.
+    /// Waits a bounded time until a proxy that has just started has received its first view.
     virtual auto awaitFirstView() -> boost::asio::awaitable<void> = 0;
 
-    /// Follows the newest view.
+    /// Applies the newest view.
     virtual auto viewChanged() -> void = 0;
 
-    /// From now on no transaction begins; running ones go on.
+    /// Refuses new transactions and single statements from now on; open transactions continue.
     virtual auto refuseNewWork() -> void = 0;
 
-    /// From now on open transactions are rolled back at their next statement.
+    /// Rolls open transactions back at their next statement from now on.
     virtual auto abortTransactions() -> void = 0;
 
     [[nodiscard]] virtual auto counts() const -> SessionCounts = 0;
 };
 
-/// What sessions work with.
+/// Dependencies of a session service.
 struct SessionServiceParts
 {
     ZoneId zone;
     std::shared_ptr<membership::ViewHolder> views;
-    /// Told of primaries that do not serve; may be null.
+    /// Receives suspicions of unreachable primaries; may be null.
     std::shared_ptr<membership::ControlLink> control;
     std::shared_ptr<LinkPool> pool;
     std::shared_ptr<SessionRecorder> recorder;
--- a/include/sapphirespool/Interactive/statement.h
+++ b/include/sapphirespool/Interactive/statement.h
@@ -1,4 +1,4 @@
-// statement.h: what a caller's session asks for.
+// statement.h: statements of a caller's session.
 #pragma once
 
 #include <cstdint>
@@ -7,10 +7,10 @@
 namespace sapphirespool::interactive
 {
 
-/// What a statement does.
+/// Kind of a statement.
 enum class StatementKind : std::uint8_t {
     Begin,
-    /// Begins a transaction that only reads.
+    /// Begins a read-only transaction.
     BeginReadOnly,
     Commit,
     Rollback,
@@ -18,15 +18,15 @@
     Write,
     /// Sets a value of the session.
     SetValue,
-    /// Gives a name to a statement shape.
+    /// Prepares a statement shape under a name.
     Prepare,
-    /// Runs a prepared shape.
+    /// Executes a prepared statement.
     Execute,
-    /// Forgets a prepared name.
+    /// Removes a prepared name.
     Deallocate,
 };
 
-/// A statement shape that a name can be given to.
+/// A statement shape that can be prepared under a name.
 struct PreparedShape
 {
     bool writes = false;
@@ -38,12 +38,12 @@
 /// One statement of a caller.
 struct Statement
 {
-    /// The caller's name for it; an upstream gets it unchanged, so that both can be found by it.
+    /// Identifier chosen by the caller. It is sent to the upstream unchanged, so that both sides' logs can be correlated.
     std::string id;
     StatementKind kind = StatementKind::Read;
     /// Name of the value or of the prepared statement.
     std::string name;
-    /// SetValue: the value. Execute: what follows the name. Read and Write: the whole text, which an upstream gets unchanged.
+    /// SetValue: the value. Execute: the text after the name. Read and Write: the whole text, sent to the upstream unchanged.
     std::string text;
     /// Prepare: the shape.
     PreparedShape shape;
--- a/lib/Interactive/callersession.cpp
+++ b/lib/Interactive/callersession.cpp
@@ -16,7 +16,7 @@
 
 namespace asio = boost::asio;
 
-/// Values and prepared names that one session may keep; both are kept for as long as the session lasts.
+/// Limits on the values and prepared names of one session; both are stored for the session's lifetime.
 constexpr auto valueLimit = std::size_t{64};
 constexpr auto nameLimit = std::size_t{256};
 
@@ -152,7 +152,7 @@
     if (service == nullptr) {
         return this->failed(makeFailure(Failure::UnknownDatabase, "no service is called " + this->database));
     }
-    // The upstream hears of the transaction with its first statement: a caller that pauses before it holds no connection.
+    // The transaction begins at the upstream with its first statement, so that a caller that pauses before it holds no connection.
     this->transaction = std::make_unique<Transaction>();
     this->transaction->service = *service;
     this->transaction->readOnly = statement.kind == StatementKind::BeginReadOnly;
@@ -241,7 +241,7 @@
         if (notRun.refuted) {
             refuted = target.member;
         } else if (work.access == Access::Write && why.failure == Failure::Busy) {
-            // Only the primary can take it, and its links or its queue are full: waiting longer would only lengthen the queue.
+            // Only the primary can run a write, and its connections or its queue are full: waiting longer would only lengthen the queue.
             break;
         }
     }
@@ -280,7 +280,7 @@
         if (!exchange.sent) {
             co_return elsewhere(brokenReply());
         }
-        // The write may have reached the upstream before the connection broke. Sent again it could run twice.
+        // The write may have reached the upstream before the connection broke. If it were sent again, it could run twice.
         co_return this->failed(makeFailure(Failure::InDoubt, "the answer to the write did not come"));
     }
     const auto &result = exchange.results.front();
@@ -309,7 +309,7 @@
     const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, work.left());
     if (exchange.results.empty()) {
         this->core->load.failed(upstream, support::now());
-        // A read changes nothing: it may run again elsewhere, while there is time.
+        // A read changes nothing, so it may be retried at another member before the deadline.
         if (work.left() > Duration(0)) {
             co_return elsewhere(brokenReply());
         }
@@ -332,9 +332,9 @@
 
 auto CallerSession::runPrimaryRead(LinkLease lease, const Target &target, const Work &work) -> asio::awaitable<RunResult>
 {
-    // A primary that was replaced without this proxy's knowledge would answer a plain read with old data. It refuses to begin a
-    // transaction that may write, and any statement in one. So the read runs in such a transaction, and is sent only once that has
-    // begun: sent together with the beginning, it would run on its own where the beginning is refused.
+    // A stale primary, whose replacement this proxy's view does not show yet, would answer a plain read with old data. It refuses to
+    // begin a read-write transaction, and any statement in one. The read therefore runs in a read-write transaction, and is sent only
+    // once that has begun: pipelined with the begin, it would run outside of a transaction where the begin is refused.
     const auto begin = commandOfKind(CommandKind::Begin);
     if (auto why = co_await prepareLink(lease.link(), this->state, work.shapePointer(), &begin, work.left())) {
         const auto refuted = why->failure == Failure::ReadOnly;
--- a/lib/Interactive/callersession.h
+++ b/lib/Interactive/callersession.h
@@ -15,19 +15,19 @@
 namespace sapphirespool::interactive
 {
 
-/// A caller's transaction.
+/// An open transaction of a caller.
 struct Transaction
 {
     membership::ServiceView service;
     bool readOnly = false;
-    /// Whether a write was sent in it.
+    /// Whether a write was sent in this transaction.
     bool wrote = false;
-    /// The upstream's connection, from the first statement on.
+    /// The upstream connection, held from the first statement to the end.
     std::optional<LinkLease> lease;
     Member member;
 };
 
-/// Decides where each statement of one caller runs, and what its outcome lets the caller be told.
+/// Runs the statements of one caller: picks the upstream for each, retries it where that is safe, and maps the outcome to a reply.
 class CallerSession : public Session, public std::enable_shared_from_this<CallerSession>
 {
 public:
@@ -39,34 +39,34 @@
     [[nodiscard]] auto status() const -> TransactionStatus override;
 
 private:
-    /// A statement with what its runs need to know.
+    /// A statement with the data that each attempt to run it needs.
     struct Work
     {
         Statement statement;
         membership::ServiceView service;
-        /// Shape of a prepared statement.
+        /// Shape of the prepared statement; empty for other statements.
         std::optional<PreparedShape> shape;
         Access access = Access::Read;
-        /// When the route's time for the statement ends.
+        /// Deadline given by the timeout of the route.
         std::chrono::steady_clock::time_point deadline;
 
         [[nodiscard]] auto left() const -> Duration;
         [[nodiscard]] auto shapePointer() const -> const PreparedShape *;
     };
 
-    /// Where a statement is to run.
+    /// The member at which a statement is to run.
     struct Target
     {
         Member member;
-        /// Position that a replica must hold.
+        /// Log position that a replica must have applied.
         std::optional<DataPosition> after;
     };
 
-    /// The statement has not run there; it may be tried elsewhere.
+    /// The statement did not run at the member; it may be retried at another one.
     struct TryElsewhere
     {
         FailureReply why;
-        /// Whether the member said that it is not the primary.
+        /// Whether the member reported that it is not the primary.
         bool refuted = false;
     };
 
@@ -100,10 +100,10 @@
     auto abandon() -> void;
     auto watchIdle() -> void;
 
-    /// \param refuted member that turned out not to be the primary
+    /// \param refuted member that reported that it is not the primary, although the view names it
     auto pick(bool needsPrimary, const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted)
         -> boost::asio::awaitable<TargetResult>;
-    /// \param tried members at which the statement did not run; the primary is not tried again at once
+    /// \param tried members at which the statement did not run; a primary among them is retried only after a delay
     auto pickPrimary(const Work &work, const std::set<UpstreamId> &tried, const std::optional<Member> &refuted) -> boost::asio::awaitable<TargetResult>;
     auto pickReader(const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted) -> boost::asio::awaitable<TargetResult>;
     [[nodiscard]] auto neededPosition(const membership::ServiceView &service) const -> std::optional<DataPosition>;
@@ -112,9 +112,9 @@
     auto workOf(Statement statement, membership::ServiceView service) const -> Work;
     auto noteWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void;
     auto noteProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void;
-    /// Notes that the statement has not run where it was tried last.
+    /// Logs and counts that the statement did not run at the last member and is retried.
     auto noteMoved(const FailureReply &why) -> void;
-    /// Notes that \p member lacked what a read had to see, by the word of \p why.
+    /// Records that \p member lags behind the position that a read requires, as reported in \p why.
     auto noteLagging(const Member &member, const FailureReply &why) -> void;
     auto noteServed(const ServiceId &service, Access access, const Member &member, Duration latency) -> void;
     auto failed(FailureReply why) -> Reply;
@@ -124,15 +124,15 @@
     SessionState state;
     TransactionStatus transactionStatus = TransactionStatus::None;
     std::unique_ptr<Transaction> transaction;
-    /// Fires when the caller has said nothing in a transaction for too long.
+    /// Expires when a caller stays idle in a transaction for too long.
     std::unique_ptr<boost::asio::steady_timer> idleTimer;
     bool executing = false;
-    /// The statement under way, for the log: the caller's name for it, when it came, and where it was tried last.
+    /// The running statement, for the log: the caller's identifier, its start time and the upstream of its last attempt.
     std::string currentId;
     std::chrono::steady_clock::time_point currentSince;
     std::string currentUpstream;
     bool ended = false;
-    /// End of the group's log after the session's last write.
+    /// End of the log of group lastWriteGroup after the session's last write.
     std::optional<DataPosition> lastWrite;
     GroupId lastWriteGroup;
 };
--- a/lib/Interactive/runvalues.cpp
+++ b/lib/Interactive/runvalues.cpp
@@ -11,7 +11,7 @@
 
 namespace asio = boost::asio;
 
-/// Time for a rollback on a link that is to be used again; a link that does not answer is closed instead, which rolls back as well.
+/// Timeout of a rollback on a connection to be reused; a connection that does not answer is closed, which also rolls back.
 constexpr auto rollbackLimit = std::chrono::milliseconds(1'000);
 
 } // namespace
--- a/lib/Interactive/runvalues.h
+++ b/lib/Interactive/runvalues.h
@@ -1,7 +1,7 @@
-// runvalues.h: values that the parts of a session's work share.
+// runvalues.h: constants and factory functions shared by the session sources.
 //
-// g++ 12 destroys a braced temporary twice when it stands in a co_await or co_return expression, so that such values are made by functions
-// or named first.
+// g++ 12 destroys a braced temporary in a co_await or co_return expression twice. Such values are therefore returned by functions or
+// stored in a named variable first.
 #pragma once
 
 #include "sapphirespool/Interactive/linkpool.h"
@@ -20,28 +20,28 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-/// Members that a statement is tried at before the caller is told: each member of a usual group once, and the primary again.
+/// Attempts at a statement before its failure is returned: each member of a typical group once, and the primary once more.
 constexpr auto attempts = 4;
 
-/// When callers come back after a promotion was not over in time.
+/// Retry delay for callers when a promotion did not complete in time.
 constexpr auto promotionRetry = std::chrono::milliseconds(300);
 
 [[nodiscard]] auto commandOfKind(CommandKind kind, std::string id = {}) -> Command;
 
-/// \return what a caller is told of \p result
+/// \return the caller's reply for \p result
 [[nodiscard]] auto replyOf(const CommandResult &result, TransactionStatus status) -> Reply;
 
 [[nodiscard]] auto makeReply(TransactionStatus status) -> Reply;
 
 [[nodiscard]] auto makeFailure(Failure failure, std::string detail, std::optional<std::chrono::milliseconds> retryAfter = std::nullopt) -> FailureReply;
 
-/// \return the failure of a statement that was not sent, or that changes nothing
+/// \return the failure of a statement whose connection broke, and that was not sent or is a read
 [[nodiscard]] auto brokenReply() -> FailureReply;
 
-/// \return whether the upstream says that it did not run the statement, so that another one may
+/// \return whether \p failure says that the upstream did not run the statement, so that it may be retried at another one
 [[nodiscard]] auto mayGoElsewhere(Failure failure) -> bool;
 
-/// Rolls back on a link whose caller has gone, so that the connection need not be opened anew.
+/// Rolls back the transaction on \p lease and returns the connection to the pool, so that it need not be reopened.
 auto rollBack(std::shared_ptr<LinkLease> lease) -> boost::asio::awaitable<void>;
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/sessioncore.cpp
+++ b/lib/Interactive/sessioncore.cpp
@@ -17,33 +17,33 @@
 
 namespace asio = boost::asio;
 
-/// How often it is looked for upstreams that fell silent, while statements are under way.
+/// How often upstreams are checked for unresponsiveness while statements are in progress.
 constexpr auto watchInterval = std::chrono::milliseconds(50);
 
-/// A healthy upstream takes a connection within some tens of milliseconds, a full one within some more; the sum of this and the silence
-/// before it stays well below the second that a promotion itself takes.
+/// Timeout of a probe. A healthy upstream accepts a connection within some tens of milliseconds, an overloaded one within some more.
+/// This timeout plus the unresponsive period before the probe stays well below the second that a promotion itself takes.
 constexpr auto lookLimit = std::chrono::milliseconds(400);
 
-/// A primary proves its position within the way there and back, and some tens of milliseconds more where a connection has to be made
-/// first. A read that waits longer is better off at the primary.
+/// Timeout of a position proof. It takes the primary one round trip, and some tens of milliseconds more if a connection must be opened
+/// first. A read that would wait longer is served sooner by the primary.
 constexpr auto proofLimit = std::chrono::milliseconds(100);
 
-/// Part of the accepted age after which a proof is replaced: the new one is there before the old one ends.
+/// A proof is replaced after the accepted age divided by this, so that the new one arrives before the old one expires.
 constexpr auto ageingPart = 2;
 
-/// Pause after a primary gave no proof. Reads go to the primary meanwhile.
+/// Backoff after a primary gave no proof. Reads go to the primary in that time.
 constexpr auto proofRest = std::chrono::milliseconds(100);
 
-/// Control gives a started proxy its view within some hundred milliseconds of its own start.
+/// Control sends a started proxy its view within a few hundred milliseconds of its own start.
 constexpr auto firstViewPatience = std::chrono::milliseconds(400);
 
-/// Control answers five times a second; a connection that broke is made anew in half of this time.
+/// Control answers five times a second, and a broken connection to it is reopened within half of this time.
 constexpr auto contactLimit = std::chrono::milliseconds(1'000);
 
-/// Many statements that meet an unreachable primary in the same moment are one reason to look.
+/// Statements that find the same primary unreachable at the same time share one probe.
 constexpr auto lookSpacing = std::chrono::milliseconds(100);
 
-/// Control counts suspicions of two seconds together; more than a few of them in that time say nothing new.
+/// Control evaluates the suspicions of two seconds together; more than a few per proxy in that time add no information.
 constexpr auto suspicionSpacing = std::chrono::milliseconds(300);
 
 auto presentUpstreams(const membership::ClusterView &view) -> std::set<UpstreamId>
@@ -167,7 +167,7 @@
     }
     const auto began = std::chrono::steady_clock::now();
     const auto until = began + patience;
-    // A view that was committed takes some milliseconds. One that takes longer may not come: this proxy may be cut off.
+    // A committed view arrives within some milliseconds. If it takes longer it may never arrive: this proxy may be partitioned off.
     auto searchAt = this->hearsControl() ? began + PrimarySearch::viewPatience : began;
     auto mayComeYet = true;
     while (true) {
@@ -182,7 +182,7 @@
         }
         if (now >= searchAt) {
             co_await searchPrimary(self, group, refutedId);
-            // Without control nobody else can name a primary here, while another proxy may be able to serve the statement.
+            // Without control no view can name a primary here, while another proxy may be able to serve the statement.
             mayComeYet = this->hearsControl();
             searchAt = std::chrono::steady_clock::now() + PrimarySearch::viewPatience;
             continue;
@@ -312,7 +312,7 @@
 
 auto SessionCore::keepFresh(std::shared_ptr<SessionCore> self, GroupId group, Duration readAge) -> asio::awaitable<void>
 {
-    // Of the many that saw the same proof grow old, the first replaces it.
+    // Many statements may have found the same proof ageing; only the first of them replaces it.
     if (self->isAgeing(group, readAge)) {
         co_await self->refreshProof(std::move(group), readAge);
     }
@@ -381,7 +381,7 @@
     }
     for (const auto &group : this->view->groups) {
         for (const auto &member : group.members) {
-            // A primary that leaves is the only one that takes writes until another one is promoted.
+            // A leaving primary is the only member that accepts writes until another one is promoted.
             if (member.leaving && group.primary != member.id) {
                 this->parts.pool->retire(member.id);
             }
--- a/lib/Interactive/sessioncore.h
+++ b/lib/Interactive/sessioncore.h
@@ -1,4 +1,4 @@
-// sessioncore.h: what the sessions of one proxy share.
+// sessioncore.h: state that the sessions of one proxy share.
 #pragma once
 
 #include "primarysearch.h"
@@ -27,7 +27,7 @@
 namespace sapphirespool::interactive
 {
 
-/// A member of a group, as the view shows it at a moment.
+/// A group member, copied from the view.
 struct Member
 {
     GroupId group;
@@ -36,7 +36,8 @@
     bool isPrimary = false;
 };
 
-/// The view in the form in which sessions ask for it, what is known of the groups' logs, and how the upstreams did lately.
+/// State shared by all sessions of a proxy: the current view indexed for lookups, the position proofs of the groups, and the recent
+/// load and failures of the upstreams.
 class SessionCore : public std::enable_shared_from_this<SessionCore>
 {
 public:
@@ -44,58 +45,61 @@
 
     auto viewChanged() -> void;
 
-    /// \return the service that callers know as \p database; null if there is none
+    /// \return the service that callers address as \p database; null if there is none
     [[nodiscard]] auto findService(std::string_view database) const -> const membership::ServiceView *;
 
-    /// \return whether control has given a view and vouches for it still
+    /// \return whether control has sent a view and the lease on it is still valid
     [[nodiscard]] auto hasCurrentView() const -> bool;
 
-    /// \return revision of the view that sessions go by
+    /// \return revision of the view that sessions use
     [[nodiscard]] auto revision() const -> Revision;
 
     [[nodiscard]] auto primaryOf(const GroupId &group) const -> std::optional<Member>;
 
-    /// \return the members that may serve a read now, the primary among them
+    /// \return the members that may serve reads now, including the primary
     [[nodiscard]] auto readersOf(const GroupId &group) const -> std::vector<Member>;
 
-    /// \return whether control has answered lately
+    /// \return whether the last contact with control is recent
     [[nodiscard]] auto hearsControl() const -> bool;
 
-    /// Waits until control has given this proxy a view, for firstViewPatience at most.
+    /// Waits until control has sent this proxy a view, for firstViewPatience at most.
     ///
-    /// Load pattern: after a loss of power all callers come at once, and proxies have no view for some hundred milliseconds. Who is sent away
-    /// uses up an attempt, and comes back later than the view; who waits here is served with it.
+    /// Load pattern: after a power failure all callers connect at once, and proxies have no view for a few hundred milliseconds. A caller
+    /// that is refused uses up an attempt and retries later than the view arrives; one that waits here is served once it arrives.
     auto awaitFirstView() -> boost::asio::awaitable<void>;
 
-    /// Waits until the group has a primary other than \p refuted, which turned out not to be one, for \p patience at most.
+    /// Waits until the group has a primary other than \p refuted, which reported that it is not one, for \p patience at most.
     ///
-    /// A promotion is over within a second or so, and no other proxy can serve a write before it is. A caller who is sent away uses up
-    /// its attempts in that time; one that waits here is served by the first link to the new primary. Where control is not heard no view
-    /// can name it: the members are asked, and what they say is final.
+    /// A promotion takes about a second, and no proxy can serve a write before it completes. A caller that is refused uses up its
+    /// attempts in that time; one that waits here is served by the first connection to the new primary. Without contact to control no
+    /// view can name that primary: the members are asked for it instead, once, and if none proves to be primary the wait ends.
     auto awaitPrimary(GroupId group, std::optional<Member> refuted, Duration patience) -> boost::asio::awaitable<std::optional<Member>>;
 
-    /// Waits until a new view comes, for \p patience at most; not at all where control is not heard, since none will come.
+    /// Waits until a new view arrives, for \p patience at most. Returns at once without contact to control, since no view can arrive.
     auto awaitViewChange(Duration patience) -> boost::asio::awaitable<void>;
 
-    /// Tells control that a primary cannot be reached.
+    /// Reports to control that \p member is unreachable, if it is a primary.
     auto suspect(const Member &member) -> void;
 
-    /// Looks whether \p member takes a connection, and suspects it if it does not and is a primary.
+    /// Probes in the background whether \p member accepts a connection, if it is a primary, and reports a suspicion if it does not.
+    /// \param thorough whether the upstream must also greet; such a probe is not rate-limited
     auto look(const Member &member, bool thorough = true) -> void;
 
-    /// Runs commands on a link to \p member, and watches for its silence.
+    /// Runs commands on a connection to \p member. While they run, an unresponsive primary is detected and probed.
     auto exchange(const Member &member, UpstreamLink &link, std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult>;
 
     auto proofsOf(const GroupId &group) -> PositionProofs &;
 
-    /// Sees to it that there is a proof for reads of \p group that may miss what is younger than \p readAge, if the primary gives one.
+    /// Requests a position proof from the primary of \p group, for reads whose data may be up to \p readAge old. There is no new proof if
+    /// the primary does not give one.
     ///
-    /// Load pattern: many proxies before one group, each with a read or two of it in the accepted age; or all of them just started.
-    /// Without it a proxy learns of the log only by reads at the primary, so that most reads that replicas could serve go there: with 89
-    /// proxies before 8 groups 56 of 100 statements, and after a restart of all of them nearly all, until the primaries' queues were full.
+    /// Load pattern: many proxies in front of one group, each with a read or two of it per \p readAge; or all proxies have just started.
+    /// Without this request a proxy learns the log position only from reads at the primary, so that most reads that replicas could serve
+    /// go there: with 89 proxies in front of 8 groups 56 of 100 statements, and after a restart of all proxies nearly all, until the
+    /// primaries' queues were full.
     auto refreshProof(GroupId group, Duration readAge) -> boost::asio::awaitable<void>;
 
-    /// Has a proof that will soon be too old for \p readAge replaced meanwhile.
+    /// Replaces in the background a proof that will soon be too old for \p readAge.
     auto refreshAgeingProof(const GroupId &group, Duration readAge) -> void;
 
     SessionServiceParts parts;
@@ -103,14 +107,14 @@
     bool refusesNewWork = false;
     bool abortsTransactions = false;
     SessionCounts counts;
-    /// Failures come in crowds, of which the first lines tell the cause.
+    /// Failures come in bursts, and the first lines of a burst show its cause; the rest are dropped.
     support::LogBudget failureLines{20.0};
-    /// Statements that are served are sampled.
+    /// Rate limit for the sampled log lines of served statements.
     support::LogBudget sampleLines{2.0};
 
 private:
     [[nodiscard]] auto findGroup(const GroupId &group) const -> const membership::GroupView *;
-    /// Asks the members of \p group other than \p refuted whether they are primary; callers that come meanwhile wait for the same search.
+    /// Asks the members of \p group other than \p refuted whether they are primary. Concurrent calls wait for the same search.
     static auto searchPrimary(std::shared_ptr<SessionCore> self, GroupId group, std::optional<UpstreamId> refuted) -> boost::asio::awaitable<void>;
     static auto connectTo(std::shared_ptr<SessionCore> self, Member member, bool thorough) -> boost::asio::awaitable<void>;
     auto watchOn() -> void;
@@ -124,17 +128,18 @@
 
     std::map<GroupId, PositionProofs> proofs;
     SingleFlight<GroupId> proving;
-    /// Until when no proof is asked of a group whose primary gave none.
+    /// Backoff per group: until when no proof is requested after its primary gave none.
     std::map<GroupId, TimePoint> provingRests;
+    /// When each primary was last reported to control as unreachable.
     std::map<UpstreamId, TimePoint> suspected;
     PrimarySearch search;
     SingleFlight<GroupId> searching;
     PrimaryWatch watch;
     boost::asio::steady_timer watchTimer;
     bool watching = false;
-    /// When each member was last looked at.
+    /// When each member was last probed.
     std::map<UpstreamId, TimePoint> looked;
-    /// Members that are being looked at.
+    /// Members with a probe in progress.
     std::set<UpstreamId> lookedAt;
     support::Signal viewSignal;
 };
--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -1,4 +1,4 @@
-// Where a statement of a caller's session runs.
+// Placement: picks the group member at which a statement runs and acquires a connection to it.
 #include "callersession.h"
 #include "runvalues.h"
 
@@ -16,19 +16,20 @@
 
 namespace asio = boost::asio;
 
-/// Part of the objective that a read waits for a replica before it is tried at another member: three quarters are left for that.
+/// A read waits for a replica for at most the objective divided by this; three quarters are left for another member.
 constexpr auto replicaPart = 4;
 
-/// Part of the route's time that a statement waits for the primary, or for there to be one; the other half is for running it. No other
-/// proxy can serve it sooner, and who is sent away only comes back to the same queue, with an attempt less.
+/// A statement waits for the primary, or for one to be promoted, for at most the route's timeout divided by this; the other half is left
+/// to run it. No other proxy can serve it sooner, and a caller that is refused only retries into the same queue, with one attempt fewer.
 constexpr auto primaryPart = 2;
 
-/// Pause before a primary that did not take the statement is tried again, unless a view comes first. The attempts at one statement would else be
-/// over within a millisecond, while control needs some hundred to find that a primary is gone, and a full queue some ten to shrink.
+/// Delay before a statement is retried at a primary that did not run it, unless a new view arrives first. Without it all attempts would
+/// be used up within a millisecond, while control needs some hundred milliseconds to detect a lost primary, and a full queue some ten
+/// milliseconds to shrink.
 constexpr auto primaryRetryPause = std::chrono::milliseconds(100);
 
-/// Opening a link takes two ways and the upstream's own handshake, some tens of milliseconds, on a busy upstream some more. One that was not
-/// opened in this time is tried at another proxy or member; a packet that was lost would take a second.
+/// Opening a connection takes two round trips and the upstream's own handshake: some tens of milliseconds, on a busy upstream some more.
+/// If it is not open in this time, another proxy or member is tried; waiting for the retransmission of a lost packet would take a second.
 constexpr auto connectLimit = std::chrono::milliseconds(400);
 
 auto acceptsAge(const membership::ServiceView &service) -> bool
@@ -123,7 +124,8 @@
         this->core->load.failed(target.member.upstream.id, support::now());
     }
     if (const auto *const why = std::get_if<FailureReply>(&result); why != nullptr && why->failure == Failure::Unreachable) {
-        // The word of an owner, or of a moment ago: control counts what proxies of several zones see themselves.
+        // This result may come from another proxy that owns the connections, or from a recent attempt. Control counts what the proxies
+        // of several availability zones observe themselves, so this proxy probes the member before it reports a suspicion.
         this->core->look(target.member, false);
     }
     co_return result;
--- a/lib/Interactive/sessionservice.cpp
+++ b/lib/Interactive/sessionservice.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// When a caller comes back that no proxy could serve yet: control gives a started proxy its view within some hundred milliseconds.
+/// Retry delay for a caller that connects before the first view: control sends a started proxy its view within a few hundred milliseconds.
 constexpr auto noViewRetry = std::chrono::milliseconds(500);
 
 class PlainSessionService : public SessionService
@@ -28,7 +28,7 @@
         if (this->core->findService(database) != nullptr) {
             return std::make_shared<CallerSession>(this->core, std::string(database));
         }
-        // A proxy without a current view cannot tell a name that is new from one that does not exist.
+        // Without a current view the proxy cannot distinguish a newly added name from one that does not exist.
         if (!this->core->hasCurrentView()) {
             return FailureReply{Failure::Busy, "the proxy has no current view of the configuration", noViewRetry};
         }
--- a/lib/Interactive/sessiontransaction.cpp
+++ b/lib/Interactive/sessiontransaction.cpp
@@ -1,4 +1,4 @@
-// Transactions of a caller's session: one link from the first statement to the end.
+// Transactions of a caller's session: each holds one connection from its first statement to its end.
 #include "callersession.h"
 #include "runvalues.h"
 
@@ -21,10 +21,10 @@
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
-/// Pause before a statement of an open transaction is sent again to an upstream whose queue was full.
+/// Delay before a statement of an open transaction is resent to an upstream whose queue was full.
 constexpr auto fullQueuePause = std::chrono::milliseconds(20);
 
-/// Transaction idle time where the service names none.
+/// Idle-in-transaction timeout of a service whose configuration sets none.
 constexpr auto usualIdleLimit = std::chrono::milliseconds(10'000);
 
 } // namespace
@@ -65,7 +65,7 @@
         co_return elsewhere(std::move(*none));
     }
     auto lease = std::get<LinkLease>(std::move(leased));
-    // At a primary also a transaction that only reads begins as one that may write: a primary that was replaced refuses that.
+    // At a primary even a read-only transaction begins as a read-write one, which a stale primary refuses.
     auto begin = commandOfKind(target.member.isPrimary ? CommandKind::Begin : CommandKind::BeginReadOnly);
     begin.after = target.after;
     if (auto why = co_await prepareLink(lease.link(), this->state, work.shapePointer(), &begin, work.left())) {
@@ -105,7 +105,7 @@
     const auto exchange = co_await this->exchangeInTransaction(work, command);
     if (exchange.results.empty()) {
         this->core->look(this->transaction->member);
-        // Without a commit nothing is kept: the upstream rolls back when its connection ends.
+        // Nothing was committed: the upstream rolls the transaction back when the connection closes.
         co_return this->failTransaction(makeFailure(Failure::Aborted, "no answer from the upstream; the transaction was rolled back"));
     }
     const auto &result = exchange.results.front();
@@ -135,8 +135,8 @@
     auto timer = asio::steady_timer(this->core->parts.executor);
     while (true) {
         auto exchange = co_await this->core->exchange(this->transaction->member, this->transaction->lease->link(), commands, work.left());
-        // An upstream whose queue is full has not run the statement, and the transaction goes on: what it did so far would be lost
-        // for a wait of some milliseconds.
+        // An upstream whose queue is full has not run the statement, and the transaction is still open. Aborting it would lose its
+        // earlier statements to avoid a wait of some milliseconds.
         const auto full = !exchange.results.empty() && exchange.results.front().failure && exchange.results.front().failure->failure == Failure::Busy
             && exchange.results.front().status == TransactionStatus::Open;
         if (!full || work.left() <= fullQueuePause) {
@@ -175,7 +175,7 @@
         }
         this->noteServed(work.service.id, ended->wrote ? Access::Write : Access::Read, ended->member, support::now() - exchange.sentAt);
     }
-    // Where the upstream did not end the transaction, dropping the lease closes the connection, which rolls back.
+    // If the upstream did not end the transaction, dropping the lease closes the connection, which rolls the transaction back.
     co_return replyOf(result, TransactionStatus::None);
 }
 
@@ -213,7 +213,7 @@
         if (error || self == nullptr || self->executing || self->transaction == nullptr) {
             return;
         }
-        // A caller that rests in a transaction holds a connection that others wait for, and the locks of what it wrote.
+        // A caller that is idle in a transaction blocks a connection that others wait for, and holds the locks of its writes.
         self->failTransaction(makeFailure(Failure::Aborted, "the transaction was idle for too long"));
     });
 }
--- a/lib/Interactive/statementrun.cpp
+++ b/lib/Interactive/statementrun.cpp
@@ -34,7 +34,7 @@
     return command;
 }
 
-/// \return whether the link has a value that the session does not have; values can be changed one by one, but not taken away
+/// \return whether the connection has a value that the session lacks; a single value can be changed but not removed
 auto hasForeignValue(const LinkState &link, const SessionState &session) -> bool
 {
     return std::any_of(link.values.begin(), link.values.end(), [&session](const auto &value) {
--- a/lib/Interactive/statementrun.h
+++ b/lib/Interactive/statementrun.h
@@ -1,4 +1,4 @@
-// statementrun.h: brings a link to the state of a session, and runs a statement on it.
+// statementrun.h: synchronizes a connection with a session's state and builds the commands of a statement.
 #pragma once
 
 #include "sapphirespool/Interactive/linkpool.h"
@@ -14,37 +14,37 @@
 namespace sapphirespool::interactive
 {
 
-/// Values and prepared names of a caller's session, as they were acknowledged to the caller.
+/// Values and prepared names of a caller's session, as acknowledged to the caller.
 struct SessionState
 {
     SessionValues values;
     std::map<std::string, PreparedShape> prepared;
 };
 
-/// Shapes that may be prepared on one link; callers use some dozens of them.
+/// Limit on the shapes prepared on one connection; callers use some dozens.
 constexpr auto preparedLimit = std::size_t{256};
 
-/// \param shape shape that the next statement runs, if it runs a prepared one
-/// \return what has to be sent on a link in state \p link before a statement of \p session may run on it
+/// \param shape shape of the next statement if it is a prepared one, else null
+/// \return the commands that bring a connection in state \p link to the state of \p session, before a statement may run on it
 ///
-/// Another caller's values would change what the statement means, and names collide between callers. So the values are made equal,
-/// and shapes have names of the link's own, which all sessions share.
+/// Values left by another caller would change the meaning of the statement, and prepared names of different callers collide. Therefore
+/// the values are made equal, and shapes are prepared under per-connection names, which all sessions share.
 [[nodiscard]] auto stateCommands(const LinkState &link, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>;
 
-/// Takes the effect of \p command into \p link.
+/// Updates \p link for a successful \p command.
 auto noteDone(LinkState &link, const Command &command) -> void;
 
-/// \param shape shape of \p statement if it runs a prepared one
-/// \return \p statement as it is sent on a link in state \p link
+/// \param shape shape of \p statement if it is a prepared one, else null
+/// \return the command that runs \p statement on a connection in state \p link
 [[nodiscard]] auto commandOf(const Statement &statement, const LinkState &link, const PreparedShape *shape) -> Command;
 
-/// \return why \p command failed, with the positions that decided it where the upstream's log was too old; nothing if it did not fail
+/// \return the failure of \p command, for Failure::Lagging with the required and the applied position; nothing if it succeeded
 [[nodiscard]] auto failureOf(const Command &command, const CommandResult &result) -> std::optional<FailureReply>;
 
-/// Sends what brings \p link to the state of \p session, and \p last after it if there is one.
+/// Sends the commands that bring \p link to the state of \p session, followed by \p last unless it is null.
 /// \return the failure of the first command that failed; nothing if all succeeded
 ///
-/// Nothing of the caller's is among the commands, so that after a failure nothing of it can have run.
+/// No statement of the caller is among the commands, so none can have run after a failure.
 auto prepareLink(UpstreamLink &link, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
     -> boost::asio::awaitable<std::optional<FailureReply>>;
 
