--- a/unittests/Interactive/sessiontest.cpp
+++ b/unittests/Interactive/sessiontest.cpp
@@ -17,7 +17,7 @@
 using namespace std::chrono_literals;
 using membership::Consistency;
 
-/// Counts the suspicions that reach control.
+/// Counts the suspicions reported to control.
 class CountingControl : public membership::ControlLink
 {
 public:
@@ -53,7 +53,7 @@
     std::size_t suspicions = 0;
 };
 
-/// Opens no link, as an owner may say, while the upstream takes connections of this proxy.
+/// Fails to open connections through their owner, while direct probes from this proxy succeed unless \p reachable is cleared.
 class OneSidedConnector : public LinkConnector
 {
 public:
@@ -80,7 +80,7 @@
 
 } // namespace
 
-TEST_CASE("a write and a read in one session, answered with the upstream's signature")
+TEST_CASE("a write and a read in one session return the upstream's signature")
 {
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
@@ -93,10 +93,11 @@
     CHECK(read.status == TransactionStatus::None);
 }
 
-TEST_CASE("a read that must be current runs inside a transaction that only a primary begins")
+TEST_CASE("a strong read runs in a transaction that only the current primary begins")
 {
-    // The caller reads a booking made a moment ago through another proxy. This proxy has not heard that the primary was replaced; the
-    // old one still answers plain reads with what it had. It refuses the transaction, so the proxy waits for the new view and asks there.
+    // Failure: a stale read. The caller reads a booking just made through another proxy. This proxy's view still names the replaced
+    // primary, which answers plain reads with its old data. It refuses the transaction, so the proxy waits for the new view and reads
+    // at the new primary.
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
     proxy.databases.promote("b");
@@ -116,10 +117,10 @@
     CHECK(onOld == 0);
 }
 
-TEST_CASE("a session reads its own write, also from a replica that has it, and not from one that lags")
+TEST_CASE("a session reads its own write from a replica that has it, and not from one that lags")
 {
-    // A clerk enrols a member and looks it up. The replicas have not received the enrolment: they refuse the read, and the primary
-    // answers. Once they have it, one of them answers.
+    // A write is followed by a read of the same item. Replicas that have not applied the write refuse the read, and the primary
+    // answers. Once they have applied it, one of them answers.
     auto proxy = Proxy(Consistency::ReadYourWrites, 5s);
     const auto session = proxy.open();
     proxy.run(session, store("member", "enrolled"));
@@ -132,11 +133,11 @@
     CHECK(proxy.recorder->byReplica >= 1);
 }
 
-TEST_CASE("a read that accepts age goes to a replica although its proxy has heard nothing of the primary yet")
+TEST_CASE("a bounded staleness read is served by a replica although the proxy has no position proof yet")
 {
-    // All proxies were restarted, and each caller's read accepts data of some age. The proxies know nothing of the log: if all those reads
-    // went to the primary, its queue would be full and most be refused. One question, which takes no slot of the primary, tells how far
-    // the log is; then the replicas serve.
+    // Failure: after a restart of all proxies, none of them has a position proof. If all reads that accept stale data went to the
+    // primary, its queue would fill up and most of them be refused. One proof, which takes no slot of the primary, gives the position of
+    // the log, and the replicas serve the reads.
     auto proxy = Proxy(Consistency::BoundedStaleness, 5s);
     proxy.databases.member("a").items["satchel"] = "booked";
     proxy.databases.member("a").applied = 1;
@@ -154,10 +155,11 @@
     CHECK(countKind(proxy.databases, CommandKind::Begin) == 1);
 }
 
-TEST_CASE("a replaced primary proves nothing")
+TEST_CASE("a replaced primary gives no position proof")
 {
-    // This proxy has not heard that the primary was replaced, and the new one has acknowledged a booking. The old one is asked how far the
-    // log is; were its word taken, the proxy would read from a replica that lacks the booking. It refuses to begin a transaction.
+    // Failure: a stale read. This proxy's view still names the replaced primary, and the new one has acknowledged a booking. With a
+    // position proof of the old primary, the proxy would read from a replica that lacks the booking. The old primary gives none, since it
+    // refuses to begin a transaction.
     auto proxy = Proxy(Consistency::BoundedStaleness, 0ms);
     proxy.databases.promote("b");
     proxy.databases.member("b").items["satchel"] = "booked";
@@ -195,10 +197,10 @@
     CHECK(*connections.begin() != *others.begin());
 }
 
-TEST_CASE("a caller that leaves in the middle of a transaction leaves nothing behind")
+TEST_CASE("a transaction is rolled back when its caller disconnects")
 {
-    // The caller's connection ends after a write that was not committed. The upstream's connection is rolled back and serves the next
-    // caller, whose work does not see the write and is not part of it.
+    // The caller disconnects after an uncommitted write. The transaction on the upstream connection is rolled back, and the connection
+    // serves the next caller, whose statements neither see the write nor join its transaction.
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
     proxy.run(session, statementOf(StatementKind::Begin));
@@ -211,10 +213,10 @@
     CHECK(proxy.databases.connectionsMade == 1);
 }
 
-TEST_CASE("values and prepared names of one session never reach another one's statements")
+TEST_CASE("values and prepared names of one session do not affect statements of another")
 {
-    // Two callers use the same names for other things, on one shared connection. Each statement must run with its own caller's values
-    // and shape.
+    // Two callers use the same prepared name for different shapes, and set different values, on one shared connection. Each statement
+    // must run with its own caller's values and shape.
     auto proxy = Proxy(Consistency::Strong);
     proxy.databases.service.consistency = Consistency::Strong;
     const auto first = proxy.open();
@@ -241,10 +243,10 @@
     CHECK(proxy.run(first, executePrepared("unknown", "item")).failure->failure == Failure::UnknownName);
 }
 
-TEST_CASE("a write whose answer is lost is in doubt, and is not sent again")
+TEST_CASE("a write whose answer is lost is in doubt and is not resent")
 {
-    // The upstream books the satchel and its answer is lost. Sent again, the booking would be made twice; called not run, the caller
-    // would make it a second time.
+    // Failure: a write runs twice. The upstream runs the write and its answer is lost. If the proxy resent it, or reported that it did not
+    // run so that the caller repeats it, the booking would be made twice.
     auto proxy = Proxy(Consistency::Strong);
     auto ran = 0;
     proxy.databases.member("a").trouble = [&ran](const Command &command) {
@@ -260,8 +262,8 @@
 
 TEST_CASE("a commit whose answer is lost is in doubt, a statement before it is not")
 {
-    // Before the commit is sent, the end of the connection rolls everything back, and the caller may be told that nothing is kept.
-    // After it, nobody knows.
+    // Until the commit is sent, the upstream rolls the transaction back when the connection closes, so the failure guarantees that it had
+    // no effect. After that the outcome is unknown.
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
     proxy.run(session, statementOf(StatementKind::Begin));
@@ -286,7 +288,7 @@
     CHECK(commit.status == TransactionStatus::None);
 }
 
-TEST_CASE("a read is tried at another member when its connection breaks")
+TEST_CASE("a read is retried at another member when its connection breaks")
 {
     auto proxy = Proxy(Consistency::BoundedStaleness, 5s);
     const auto session = proxy.open();
@@ -300,10 +302,10 @@
     CHECK(proxy.run(session, fetch("parcel")).rows == std::vector<std::string>{"sent"});
 }
 
-TEST_CASE("without a primary a write waits for one for half its time, and is then refused as not run")
+TEST_CASE("without a primary a write waits for one for half of its timeout and is then refused as not run")
 {
-    // A promotion is under way. The caller is held only for as long as its statement could still be served in time, and is told when
-    // to come back.
+    // A promotion is in progress. The statement waits only as long as it could still be served before its deadline, and the refusal
+    // carries a retry delay.
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
     proxy.databases.viewedPrimary = "";
@@ -320,7 +322,7 @@
 
 TEST_CASE("a statement of a transaction waits while the upstream's queue is full")
 {
-    // The queue is full for a moment. The transaction's earlier statements would be lost if it were given up for that.
+    // The queue is full for a short time. Aborting the transaction for that would lose its earlier statements.
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
     proxy.run(session, statementOf(StatementKind::Begin));
@@ -334,7 +336,7 @@
     CHECK(proxy.databases.member("a").items.size() == 2);
 }
 
-TEST_CASE("a transaction whose caller rests for too long gives its connection back")
+TEST_CASE("a transaction that is idle for too long returns its connection")
 {
     auto proxy = Proxy(Consistency::Strong);
     proxy.databases.service.transactionIdle = 20ms;
@@ -349,7 +351,7 @@
     CHECK(proxy.databases.member("a").items.empty());
 }
 
-TEST_CASE("a stopping proxy begins nothing and lets a transaction end")
+TEST_CASE("a stopping proxy refuses new work and lets an open transaction commit")
 {
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
@@ -360,7 +362,7 @@
     CHECK_FALSE(proxy.run(session, statementOf(StatementKind::Commit)).failure);
 }
 
-TEST_CASE("a name without a route is unknown, unless the proxy cannot know")
+TEST_CASE("a name without a route is unknown only if the proxy has a current view")
 {
     auto proxy = Proxy(Consistency::Strong);
     CHECK(std::get<FailureReply>(proxy.service->open("nobody")).failure == Failure::UnknownDatabase);
@@ -374,7 +376,7 @@
     CHECK(std::get<FailureReply>(service->open("orders")).failure == Failure::Busy);
 }
 
-TEST_CASE("a read of current data leaves no transaction open")
+TEST_CASE("a strong read leaves no transaction open")
 {
     auto proxy = Proxy(Consistency::Strong);
     const auto session = proxy.open();
@@ -385,10 +387,10 @@
     CHECK(proxy.databases.connectionsMade == 1);
 }
 
-TEST_CASE("a proxy that does not hear control waits for no other primary")
+TEST_CASE("a proxy without contact to control does not wait for another primary")
 {
-    // The caller sees: a statement that is held for half of its time and then refused, although a proxy beside this one could serve it.
-    // The proxy is cut off from control and from the new primary. The one that it knows refuses; nobody can tell it of another one.
+    // Failure: a statement waits for half of its timeout and is then refused, although another proxy could serve it. The proxy is
+    // partitioned from control and from the new primary. The primary of its view refuses, and no view can name another one.
     auto proxy = Proxy(Consistency::Strong);
     proxy.databases.member("a").isPrimary = false;
     proxy.databases.member("b").isPrimary = true;
@@ -402,9 +404,10 @@
     CHECK(std::chrono::steady_clock::now() - began < proxy.databases.service.timeout / 4);
 }
 
-TEST_CASE("a proxy that is cut off from control finds a new primary that it reaches")
+TEST_CASE("a proxy that is partitioned from control finds a reachable new primary")
 {
-    // The view that names the new primary does not come, and each write and current read of the group would be refused until the cut heals.
+    // Failure: the view that names the new primary does not arrive, and each write and strong read of the group is refused until the
+    // partition heals.
     auto proxy = Proxy(Consistency::Strong);
     proxy.databases.promote("b");
     proxy.views->noteContact(support::now() - 2s);
@@ -417,7 +420,7 @@
     CHECK_FALSE(proxy.run(session, statementOf(StatementKind::Commit)).failure);
     CHECK(proxy.databases.member("b").items.at("b") == "2");
 
-    SECTION("and the next one after that")
+    SECTION("and the primary after that one")
     {
         proxy.databases.replicate();
         proxy.databases.promote("c");
@@ -425,7 +428,7 @@
         CHECK_FALSE(proxy.run(session, store("a", "3")).failure);
         CHECK(proxy.databases.member("c").items.at("a") == "3");
     }
-    SECTION("and goes by the view again once it names a later term")
+    SECTION("and uses the view again once it names a later term")
     {
         proxy.databases.replicate();
         proxy.databases.promote("c");
@@ -438,9 +441,9 @@
     }
 }
 
-TEST_CASE("a write whose primary cannot be reached is tried again at the next one")
+TEST_CASE("a write whose primary is unreachable is retried at the next primary")
 {
-    // The primary loses its power. All attempts at the statement would be over before control has named another one.
+    // Failure: the primary loses power, and all attempts at the statement are used up before control has named another primary.
     auto proxy = Proxy(Consistency::Strong);
     proxy.databases.member("a").reachable = false;
     const auto pending = proxy.start(proxy.open(), store("a", "1"));
@@ -456,10 +459,11 @@
     CHECK(proxy.databases.member("b").items.at("a") == "1");
 }
 
-TEST_CASE("a primary that only others cannot reach is not suspected")
+TEST_CASE("a primary that is unreachable only for others is not suspected")
 {
-    // Failure: a holder of connections is short of processor time and calls a healthy primary unreachable. All proxies that ask it take its word, two zones
-    // suspect the primary, and a promotion takes the primary from everyone for a second.
+    // Failure: an owner of connections is short of processor time and reports a healthy primary as unreachable. All proxies that use this
+    // owner report a suspicion, so that two availability zones suspect the primary, and the promotion leaves every caller without a
+    // primary for a second.
     auto proxy = Proxy(Consistency::Strong);
     const auto control = std::make_shared<CountingControl>();
     const auto connector = std::make_shared<OneSidedConnector>();
@@ -477,7 +481,7 @@
     CHECK(control->suspicions > 0);
 }
 
-TEST_CASE("a proxy without control does not try an unreachable primary again")
+TEST_CASE("a proxy without contact to control does not retry an unreachable primary")
 {
     auto proxy = Proxy(Consistency::Strong);
     proxy.databases.member("a").reachable = false;
@@ -489,9 +493,9 @@
     CHECK(std::chrono::steady_clock::now() - began < 100ms);
 }
 
-TEST_CASE("a write whose answer was lost is not sent to a primary that is found")
+TEST_CASE("a write whose answer was lost is not resent to a newly found primary")
 {
-    // The old primary may have run it; at the new one it would run twice.
+    // The old primary may have run the write; resent to the new one, it would run twice.
     auto proxy = Proxy(Consistency::Strong);
     proxy.views->noteContact(support::now() - 2s);
     proxy.databases.member("a").trouble = [](const Command &) {
@@ -508,9 +512,9 @@
     CHECK_FALSE(proxy.databases.member("b").items.contains("a"));
 }
 
-TEST_CASE("a caller that comes before the first view waits for it, for a moment at most")
+TEST_CASE("a caller that connects before the first view waits for it")
 {
-    // The caller sees: it is sent away by a proxy that could have served it a moment later. All VMs have just come back from a loss of power.
+    // Failure: all VMs restart after a power failure, and a proxy refuses a caller that it could have served a moment later.
     auto proxy = Proxy(Consistency::Strong);
     const auto former = std::exchange(proxy.views, std::make_shared<membership::ViewHolder>());
     auto parts = SessionServiceParts();
@@ -536,7 +540,7 @@
     CHECK(waited == 2);
 }
 
-TEST_CASE("a caller is not held where no view comes")
+TEST_CASE("a caller waits only a bounded time when no view arrives")
 {
     auto proxy = Proxy(Consistency::Strong);
     auto parts = SessionServiceParts();
