--- a/include/sapphirespool/Interactive/reply.h
+++ b/include/sapphirespool/Interactive/reply.h
@@ -54,7 +54,7 @@
 [[nodiscard]] auto name(Failure failure) -> std::string_view;
 
 /// \return whether \p failure guarantees that neither the statement nor its transaction has taken effect
-[[nodiscard]] auto promisesNothingKept(Failure failure) -> bool;
+[[nodiscard]] auto guaranteesNoEffect(Failure failure) -> bool;
 
 /// Failure of a statement, as the caller receives it.
 struct FailureReply
@@ -65,7 +65,7 @@
     /// Delay before a retry may succeed, if it is known.
     std::optional<std::chrono::milliseconds> retryAfter = {};
     /// For Failure::Lagging: the position up to which the upstream has applied the log.
-    std::optional<DataPosition> held = {};
+    std::optional<DataPosition> upstreamPosition = {};
 };
 
 /// Answer to one statement.
--- a/lib/Interactive/callersession.cpp
+++ b/lib/Interactive/callersession.cpp
@@ -22,22 +22,22 @@
 
 } // namespace
 
-auto CallerSession::Work::left() const -> Duration
+auto CallerSession::StatementContext::remaining() const -> Duration
 {
     return std::max<Duration>(Duration(0), this->deadline - SteadyClock::now());
 }
 
-auto CallerSession::Work::shapePointer() const -> const PreparedShape *
+auto CallerSession::StatementContext::shapePointer() const -> const PreparedShape *
 {
     return this->shape ? &*this->shape : nullptr;
 }
 
-auto CallerSession::elsewhere(FailureReply why, bool refuted) -> TryElsewhere
+auto CallerSession::retryElsewhere(FailureReply why, bool notPrimary) -> RetryElsewhere
 {
-    return {std::move(why), refuted};
+    return {std::move(why), notPrimary};
 }
 
-auto CallerSession::targetAt(Member member, std::optional<DataPosition> after) -> Target
+auto CallerSession::makeTarget(Member member, std::optional<DataPosition> after) -> Target
 {
     return {std::move(member), after};
 }
@@ -71,7 +71,7 @@
     --this->core->counts.statements;
     this->executing = false;
     if (this->ended) {
-        this->abandon();
+        this->discardTransaction();
     } else {
         this->watchIdle();
     }
@@ -85,14 +85,14 @@
         this->idleTimer->cancel();
     }
     if (!this->executing) {
-        this->abandon();
+        this->discardTransaction();
     }
 }
 
 auto CallerSession::dispatch(Statement statement) -> asio::awaitable<Reply>
 {
     if (this->transactionStatus == TransactionStatus::Failed && statement.kind != StatementKind::Rollback && statement.kind != StatementKind::Commit) {
-        co_return this->failed(makeFailure(Failure::Malformed, "the transaction failed; end it first"));
+        co_return this->fail(makeFailure(Failure::Malformed, "the transaction failed; end it first"));
     }
     switch (statement.kind) {
     case StatementKind::SetValue:
@@ -113,13 +113,13 @@
     case StatementKind::Execute:
         co_return co_await this->run(std::move(statement));
     }
-    co_return this->failed(makeFailure(Failure::Malformed, "unknown kind of statement"));
+    co_return this->fail(makeFailure(Failure::Malformed, "unknown kind of statement"));
 }
 
 auto CallerSession::setValue(const Statement &statement) -> Reply
 {
     if (this->state.values.size() >= valueLimit && !this->state.values.contains(statement.name)) {
-        return this->failed(makeFailure(Failure::Malformed, "a session keeps at most 64 values"));
+        return this->fail(makeFailure(Failure::Malformed, "a session keeps at most 64 values"));
     }
     this->state.values.insert_or_assign(statement.name, statement.text);
     return makeReply(this->transactionStatus);
@@ -128,7 +128,7 @@
 auto CallerSession::prepare(const Statement &statement) -> Reply
 {
     if (this->state.prepared.size() >= nameLimit && !this->state.prepared.contains(statement.name)) {
-        return this->failed(makeFailure(Failure::Malformed, "a session keeps at most 256 prepared names"));
+        return this->fail(makeFailure(Failure::Malformed, "a session keeps at most 256 prepared names"));
     }
     this->state.prepared.insert_or_assign(statement.name, statement.shape);
     return makeReply(this->transactionStatus);
@@ -143,14 +143,14 @@
 auto CallerSession::begin(const Statement &statement) -> Reply
 {
     if (this->transactionStatus != TransactionStatus::None) {
-        return this->failed(makeFailure(Failure::Malformed, "a transaction is open"));
+        return this->fail(makeFailure(Failure::Malformed, "a transaction is open"));
     }
     if (this->core->refusesNewWork) {
-        return this->failed(makeFailure(Failure::Busy, "the proxy is stopping; connect again", std::chrono::milliseconds(0)));
+        return this->fail(makeFailure(Failure::Busy, "the proxy is stopping; connect again", std::chrono::milliseconds(0)));
     }
     const auto *const service = this->core->findService(this->database);
     if (service == nullptr) {
-        return this->failed(makeFailure(Failure::UnknownDatabase, "no service is called " + this->database));
+        return this->fail(makeFailure(Failure::UnknownDatabase, "no service is called " + this->database));
     }
     // The transaction begins at the upstream with its first statement, so that a caller that pauses before it holds no connection.
     this->transaction = std::make_unique<Transaction>();
@@ -166,7 +166,7 @@
         const auto lease = std::make_shared<LinkLease>(*std::move(this->transaction->lease));
         this->transaction->lease.reset();
         --this->core->counts.transactions;
-        co_await rollBack(lease);
+        co_await rollBackAndRelease(lease);
     }
     this->transaction.reset();
     this->transactionStatus = TransactionStatus::None;
@@ -176,214 +176,214 @@
 auto CallerSession::commit(Statement statement) -> asio::awaitable<Reply>
 {
     if (this->transactionStatus == TransactionStatus::None) {
-        co_return this->failed(makeFailure(Failure::Malformed, "no transaction is open"));
+        co_return this->fail(makeFailure(Failure::Malformed, "no transaction is open"));
     }
     if (this->transactionStatus == TransactionStatus::Failed) {
         co_await this->rollback();
-        co_return this->failed(makeFailure(Failure::Aborted, "the transaction had failed and was rolled back"));
+        co_return this->fail(makeFailure(Failure::Aborted, "the transaction had failed and was rolled back"));
     }
-    auto work = this->workOf(std::move(statement), this->transaction->service);
+    auto context = this->makeContext(std::move(statement), this->transaction->service);
     if (!this->transaction->lease) {
-        if (auto why = co_await this->openTransaction(work)) {
+        if (auto why = co_await this->openTransaction(context)) {
             this->transaction.reset();
             this->transactionStatus = TransactionStatus::None;
-            co_return this->failed(*std::move(why));
+            co_return this->fail(*std::move(why));
         }
     }
-    co_return co_await this->runCommit(work);
+    co_return co_await this->runCommit(context);
 }
 
 auto CallerSession::run(Statement statement) -> asio::awaitable<Reply>
 {
     if (statement.kind == StatementKind::Execute && !this->state.prepared.contains(statement.name)) {
         auto why = makeFailure(Failure::UnknownName, "no statement was prepared as " + statement.name);
-        co_return this->transactionStatus == TransactionStatus::Open ? this->failTransaction(std::move(why)) : this->failed(std::move(why));
+        co_return this->transactionStatus == TransactionStatus::Open ? this->failTransaction(std::move(why)) : this->fail(std::move(why));
     }
     if (this->transactionStatus == TransactionStatus::Open) {
-        const auto work = this->workOf(std::move(statement), this->transaction->service);
-        co_return co_await this->runInTransaction(work);
+        const auto context = this->makeContext(std::move(statement), this->transaction->service);
+        co_return co_await this->runInTransaction(context);
     }
     if (this->core->refusesNewWork) {
-        co_return this->failed(makeFailure(Failure::Busy, "the proxy is stopping; connect again", std::chrono::milliseconds(0)));
+        co_return this->fail(makeFailure(Failure::Busy, "the proxy is stopping; connect again", std::chrono::milliseconds(0)));
     }
     const auto *const service = this->core->findService(this->database);
     if (service == nullptr) {
-        co_return this->failed(makeFailure(Failure::UnknownDatabase, "no service is called " + this->database));
+        co_return this->fail(makeFailure(Failure::UnknownDatabase, "no service is called " + this->database));
     }
-    const auto work = this->workOf(std::move(statement), *service);
-    co_return co_await this->runSingle(work);
+    const auto context = this->makeContext(std::move(statement), *service);
+    co_return co_await this->runSingle(context);
 }
 
-auto CallerSession::runSingle(const Work &work) -> asio::awaitable<Reply>
+auto CallerSession::runSingle(const StatementContext &context) -> asio::awaitable<Reply>
 {
     const auto began = SteadyClock::now();
     auto excluded = std::set<UpstreamId>();
-    auto refuted = std::optional<Member>();
-    auto why = makeFailure(Failure::Busy, "no upstream could take the statement in time", promotionRetry);
-    for (auto attempt = 0; attempt < attempts && work.left() > Duration(0); ++attempt) {
-        auto picked = co_await this->pick(work.access == Access::Write, work, excluded, refuted);
+    auto stalePrimary = std::optional<Member>();
+    auto why = makeFailure(Failure::Busy, "no upstream could take the statement in time", promotionRetryAfter);
+    for (auto attempt = 0; attempt < maxAttempts && context.remaining() > Duration(0); ++attempt) {
+        auto picked = co_await this->pick(context.access == Access::Write, context, excluded, stalePrimary);
         if (auto *const none = std::get_if<FailureReply>(&picked)) {
             why = std::move(*none);
             break;
         }
         const auto &target = std::get<Target>(picked);
-        auto result = co_await this->runAt(target, work);
+        auto result = co_await this->runAt(target, context);
         if (auto *const reply = std::get_if<Reply>(&result)) {
             if (!reply->failure) {
-                this->noteServed(work.service.id, work.access, target.member, SteadyClock::now() - began);
+                this->recordServed(context.service.id, context.access, target.member, SteadyClock::now() - began);
             }
             co_return std::move(*reply);
         }
-        auto &notRun = std::get<TryElsewhere>(result);
+        auto &notRun = std::get<RetryElsewhere>(result);
         why = std::move(notRun.why);
-        this->noteMoved(why);
+        this->recordRetry(why);
         excluded.insert(target.member.upstream.id);
-        if (notRun.refuted) {
-            refuted = target.member;
-        } else if (work.access == Access::Write && why.failure == Failure::Busy) {
+        if (notRun.notPrimary) {
+            stalePrimary = target.member;
+        } else if (context.access == Access::Write && why.failure == Failure::Busy) {
             // Only the primary can run a write, and its connections or its queue are full: waiting longer would only lengthen the queue.
             break;
         }
     }
-    co_return this->failed(std::move(why));
+    co_return this->fail(std::move(why));
 }
 
-auto CallerSession::runAt(const Target &target, const Work &work) -> asio::awaitable<RunResult>
+auto CallerSession::runAt(const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
     this->currentUpstream = target.member.upstream.id.value();
-    auto leased = co_await this->acquire(target, work);
+    auto leased = co_await this->acquire(target, context);
     if (auto *const none = std::get_if<FailureReply>(&leased)) {
-        co_return elsewhere(std::move(*none));
+        co_return retryElsewhere(std::move(*none));
     }
     auto lease = std::get<LinkLease>(std::move(leased));
-    if (work.access == Access::Write) {
-        co_return co_await this->runWrite(std::move(lease), target, work);
+    if (context.access == Access::Write) {
+        co_return co_await this->runWrite(std::move(lease), target, context);
     }
     if (target.member.isPrimary) {
-        co_return co_await this->runPrimaryRead(std::move(lease), target, work);
+        co_return co_await this->runPrimaryRead(std::move(lease), target, context);
     }
-    co_return co_await this->runReplicaRead(std::move(lease), target, work);
+    co_return co_await this->runReplicaRead(std::move(lease), target, context);
 }
 
-auto CallerSession::runWrite(LinkLease lease, const Target &target, const Work &work) -> asio::awaitable<RunResult>
+auto CallerSession::runWrite(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
-    if (auto why = co_await prepareLink(lease.link(), this->state, work.shapePointer(), nullptr, work.left())) {
-        this->core->look(target.member);
-        co_return elsewhere(*std::move(why));
+    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+        this->core->probe(target.member);
+        co_return retryElsewhere(*std::move(why));
     }
-    auto command = commandOf(work.statement, lease.link().state, work.shapePointer());
+    auto command = commandOf(context.statement, lease.link().state, context.shapePointer());
     command.lasting = true;
     const auto commands = std::vector<Command>{std::move(command)};
-    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, work.left());
+    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, context.remaining());
     if (exchange.results.empty()) {
-        this->core->look(target.member);
+        this->core->probe(target.member);
         if (!exchange.sent) {
-            co_return elsewhere(brokenReply());
+            co_return retryElsewhere(connectionBrokenFailure());
         }
         // The write may have reached the upstream before the connection broke. If it were sent again, it could run twice.
-        co_return this->failed(makeFailure(Failure::InDoubt, "the answer to the write did not come"));
+        co_return this->fail(makeFailure(Failure::InDoubt, "the answer to the write did not come"));
     }
     const auto &result = exchange.results.front();
-    if (result.failure && mayGoElsewhere(result.failure->failure)) {
+    if (result.failure && mayRetryElsewhere(result.failure->failure)) {
         lease.giveBack();
-        co_return elsewhere(*result.failure, result.failure->failure == Failure::ReadOnly);
+        co_return retryElsewhere(*result.failure, result.failure->failure == Failure::ReadOnly);
     }
     if (!result.failure) {
-        this->noteWrite(target.member.group, result.position);
-        this->noteProof(target.member, exchange.sentAt, result.position);
+        this->recordWrite(target.member.group, result.position);
+        this->recordProof(target.member, exchange.sentAt, result.position);
     }
     lease.giveBack();
-    co_return replyOf(result, TransactionStatus::None);
+    co_return toReply(result, TransactionStatus::None);
 }
 
-auto CallerSession::runReplicaRead(LinkLease lease, const Target &target, const Work &work) -> asio::awaitable<RunResult>
+auto CallerSession::runReplicaRead(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
     const auto &upstream = target.member.upstream.id;
-    if (auto why = co_await prepareLink(lease.link(), this->state, work.shapePointer(), nullptr, work.left())) {
+    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
         this->core->load.failed(upstream, support::now());
-        co_return elsewhere(*std::move(why));
+        co_return retryElsewhere(*std::move(why));
     }
-    auto command = commandOf(work.statement, lease.link().state, work.shapePointer());
+    auto command = commandOf(context.statement, lease.link().state, context.shapePointer());
     command.after = target.after;
     const auto commands = std::vector<Command>{std::move(command)};
-    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, work.left());
+    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, context.remaining());
     if (exchange.results.empty()) {
         this->core->load.failed(upstream, support::now());
         // A read changes nothing, so it may be retried at another member before the deadline.
-        if (work.left() > Duration(0)) {
-            co_return elsewhere(brokenReply());
+        if (context.remaining() > Duration(0)) {
+            co_return retryElsewhere(connectionBrokenFailure());
         }
-        co_return this->failed(makeFailure(Failure::TimedOut, "the upstream did not answer within the route's time"));
+        co_return this->fail(makeFailure(Failure::TimedOut, "the upstream did not answer within the route's time"));
     }
     const auto &result = exchange.results.front();
     lease.giveBack();
-    if (result.failure && mayGoElsewhere(result.failure->failure)) {
+    if (result.failure && mayRetryElsewhere(result.failure->failure)) {
         auto why = *failureOf(commands.front(), result);
         if (why.failure == Failure::Busy) {
             this->core->load.failed(upstream, support::now());
         } else if (why.failure == Failure::Lagging) {
-            this->noteLagging(target.member, why);
+            this->recordLagging(target.member, why);
         }
-        co_return elsewhere(std::move(why));
+        co_return retryElsewhere(std::move(why));
     }
     this->core->load.served(upstream, support::now() - exchange.sentAt, support::now());
-    co_return replyOf(result, TransactionStatus::None);
+    co_return toReply(result, TransactionStatus::None);
 }
 
-auto CallerSession::runPrimaryRead(LinkLease lease, const Target &target, const Work &work) -> asio::awaitable<RunResult>
+auto CallerSession::runPrimaryRead(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
     // A stale primary, whose replacement this proxy's view does not show yet, would answer a plain read with old data. It refuses to
     // begin a read-write transaction, and any statement in one. The read therefore runs in a read-write transaction, and is sent only
     // once that has begun: pipelined with the begin, it would run outside of a transaction where the begin is refused.
     const auto begin = commandOfKind(CommandKind::Begin);
-    if (auto why = co_await prepareLink(lease.link(), this->state, work.shapePointer(), &begin, work.left())) {
-        const auto refuted = why->failure == Failure::ReadOnly;
-        if (refuted) {
+    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
+        const auto notPrimary = why->failure == Failure::ReadOnly;
+        if (notPrimary) {
             lease.giveBack();
         } else {
-            this->core->look(target.member);
+            this->core->probe(target.member);
         }
-        co_return elsewhere(*std::move(why), refuted);
+        co_return retryElsewhere(*std::move(why), notPrimary);
     }
-    const auto commands = std::vector<Command>{commandOf(work.statement, lease.link().state, work.shapePointer()), commandOfKind(CommandKind::Rollback)};
-    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, work.left());
+    const auto commands = std::vector<Command>{commandOf(context.statement, lease.link().state, context.shapePointer()), commandOfKind(CommandKind::Rollback)};
+    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, context.remaining());
     if (exchange.results.empty()) {
-        this->core->look(target.member);
+        this->core->probe(target.member);
         this->core->load.failed(target.member.upstream.id, support::now());
-        if (work.left() > Duration(0)) {
-            co_return elsewhere(brokenReply());
+        if (context.remaining() > Duration(0)) {
+            co_return retryElsewhere(connectionBrokenFailure());
         }
-        co_return this->failed(makeFailure(Failure::TimedOut, "the upstream did not answer within the route's time"));
+        co_return this->fail(makeFailure(Failure::TimedOut, "the upstream did not answer within the route's time"));
     }
     const auto &result = exchange.results.front();
     if (exchange.results.size() == commands.size() && exchange.results.back().status == TransactionStatus::None) {
         lease.giveBack();
     }
-    if (result.failure && mayGoElsewhere(result.failure->failure)) {
-        co_return elsewhere(*result.failure, result.failure->failure == Failure::ReadOnly);
+    if (result.failure && mayRetryElsewhere(result.failure->failure)) {
+        co_return retryElsewhere(*result.failure, result.failure->failure == Failure::ReadOnly);
     }
     if (!result.failure) {
-        this->noteProof(target.member, exchange.sentAt, result.position);
+        this->recordProof(target.member, exchange.sentAt, result.position);
         this->core->load.served(target.member.upstream.id, support::now() - exchange.sentAt, support::now());
     }
-    co_return replyOf(result, TransactionStatus::None);
+    co_return toReply(result, TransactionStatus::None);
 }
 
-auto CallerSession::workOf(Statement statement, membership::ServiceView service) const -> Work
+auto CallerSession::makeContext(Statement statement, membership::ServiceView service) const -> StatementContext
 {
-    auto work = Work();
-    work.deadline = SteadyClock::now() + service.timeout;
-    work.access = statement.kind == StatementKind::Write ? Access::Write : Access::Read;
+    auto context = StatementContext();
+    context.deadline = SteadyClock::now() + service.timeout;
+    context.access = statement.kind == StatementKind::Write ? Access::Write : Access::Read;
     if (statement.kind == StatementKind::Execute) {
-        work.shape = this->state.prepared.at(statement.name);
-        work.access = work.shape->writes ? Access::Write : Access::Read;
+        context.shape = this->state.prepared.at(statement.name);
+        context.access = context.shape->writes ? Access::Write : Access::Read;
     }
-    work.statement = std::move(statement);
-    work.service = std::move(service);
-    return work;
+    context.statement = std::move(statement);
+    context.service = std::move(service);
+    return context;
 }
 
-auto CallerSession::noteWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void
+auto CallerSession::recordWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void
 {
     if (position) {
         this->lastWrite = position;
@@ -391,21 +391,21 @@
     }
 }
 
-auto CallerSession::noteProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void
+auto CallerSession::recordProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void
 {
     if (position) {
         this->core->proofsOf(member.group).note(sent, *position);
     }
 }
 
-auto CallerSession::noteLagging(const Member &member, const FailureReply &why) -> void
+auto CallerSession::recordLagging(const Member &member, const FailureReply &why) -> void
 {
     const auto now = support::now();
-    const auto behind = why.held ? this->core->proofsOf(member.group).behind(*why.held, now) : Duration(0);
+    const auto behind = why.upstreamPosition ? this->core->proofsOf(member.group).behind(*why.upstreamPosition, now) : Duration(0);
     this->core->load.lagged(member.upstream.id, behind, now);
 }
 
-auto CallerSession::noteMoved(const FailureReply &why) -> void
+auto CallerSession::recordRetry(const FailureReply &why) -> void
 {
     this->core->parts.recorder->retried(ServiceId(this->database), why.failure);
     if (this->core->failureLines.tryTake(support::now())) {
@@ -418,7 +418,7 @@
     }
 }
 
-auto CallerSession::noteServed(const ServiceId &service, Access access, const Member &member, Duration latency) -> void
+auto CallerSession::recordServed(const ServiceId &service, Access access, const Member &member, Duration latency) -> void
 {
     this->core->parts.recorder->served(service, access, member.isPrimary, latency);
     if (this->core->sampleLines.tryTake(support::now())) {
@@ -433,7 +433,7 @@
     }
 }
 
-auto CallerSession::failed(FailureReply why) -> Reply
+auto CallerSession::fail(FailureReply why) -> Reply
 {
     this->core->parts.recorder->refused(ServiceId(this->database), why.failure);
     if (this->core->failureLines.tryTake(support::now())) {
--- a/lib/Interactive/callersession.h
+++ b/lib/Interactive/callersession.h
@@ -40,7 +40,7 @@
 
 private:
     /// A statement with the data that each attempt to run it needs.
-    struct Work
+    struct StatementContext
     {
         Statement statement;
         membership::ServiceView service;
@@ -50,7 +50,7 @@
         /// Deadline given by the timeout of the route.
         std::chrono::steady_clock::time_point deadline;
 
-        [[nodiscard]] auto left() const -> Duration;
+        [[nodiscard]] auto remaining() const -> Duration;
         [[nodiscard]] auto shapePointer() const -> const PreparedShape *;
     };
 
@@ -63,18 +63,18 @@
     };
 
     /// The statement did not run at the member; it may be retried at another one.
-    struct TryElsewhere
+    struct RetryElsewhere
     {
         FailureReply why;
         /// Whether the member reported that it is not the primary.
-        bool refuted = false;
+        bool notPrimary = false;
     };
 
     using TargetResult = std::variant<Target, FailureReply>;
-    using RunResult = std::variant<Reply, TryElsewhere>;
+    using RunResult = std::variant<Reply, RetryElsewhere>;
 
-    [[nodiscard]] static auto elsewhere(FailureReply why, bool refuted = false) -> TryElsewhere;
-    [[nodiscard]] static auto targetAt(Member member, std::optional<DataPosition> after) -> Target;
+    [[nodiscard]] static auto retryElsewhere(FailureReply why, bool notPrimary = false) -> RetryElsewhere;
+    [[nodiscard]] static auto makeTarget(Member member, std::optional<DataPosition> after) -> Target;
 
     auto dispatch(Statement statement) -> boost::asio::awaitable<Reply>;
     auto setValue(const Statement &statement) -> Reply;
@@ -85,39 +85,41 @@
     auto commit(Statement statement) -> boost::asio::awaitable<Reply>;
     auto run(Statement statement) -> boost::asio::awaitable<Reply>;
 
-    auto runSingle(const Work &work) -> boost::asio::awaitable<Reply>;
-    auto runAt(const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-    auto runWrite(LinkLease lease, const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-    auto runReplicaRead(LinkLease lease, const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-    auto runPrimaryRead(LinkLease lease, const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-
-    auto openTransaction(const Work &work) -> boost::asio::awaitable<std::optional<FailureReply>>;
-    auto openAt(const Target &target, const Work &work) -> boost::asio::awaitable<std::optional<TryElsewhere>>;
-    auto runInTransaction(const Work &work) -> boost::asio::awaitable<Reply>;
-    auto exchangeInTransaction(const Work &work, const Command &command) -> boost::asio::awaitable<ExchangeResult>;
-    auto runCommit(const Work &work) -> boost::asio::awaitable<Reply>;
+    auto runSingle(const StatementContext &context) -> boost::asio::awaitable<Reply>;
+    auto runAt(const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runWrite(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runReplicaRead(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runPrimaryRead(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+
+    auto openTransaction(const StatementContext &context) -> boost::asio::awaitable<std::optional<FailureReply>>;
+    auto openAt(const Target &target, const StatementContext &context) -> boost::asio::awaitable<std::optional<RetryElsewhere>>;
+    auto runInTransaction(const StatementContext &context) -> boost::asio::awaitable<Reply>;
+    auto exchangeInTransaction(const StatementContext &context, const Command &command) -> boost::asio::awaitable<ExchangeResult>;
+    auto runCommit(const StatementContext &context) -> boost::asio::awaitable<Reply>;
     auto failTransaction(FailureReply why) -> Reply;
-    auto abandon() -> void;
+    auto discardTransaction() -> void;
     auto watchIdle() -> void;
 
-    /// \param refuted member that reported that it is not the primary, although the view names it
-    auto pick(bool needsPrimary, const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted)
+    /// \param stalePrimary member that reported that it is not the primary, although the view names it
+    auto pick(bool needsPrimary, const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
         -> boost::asio::awaitable<TargetResult>;
     /// \param tried members at which the statement did not run; a primary among them is retried only after a delay
-    auto pickPrimary(const Work &work, const std::set<UpstreamId> &tried, const std::optional<Member> &refuted) -> boost::asio::awaitable<TargetResult>;
-    auto pickReader(const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted) -> boost::asio::awaitable<TargetResult>;
+    auto pickPrimary(const StatementContext &context, const std::set<UpstreamId> &tried, const std::optional<Member> &stalePrimary)
+        -> boost::asio::awaitable<TargetResult>;
+    auto pickReader(const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
+        -> boost::asio::awaitable<TargetResult>;
     [[nodiscard]] auto neededPosition(const membership::ServiceView &service) const -> std::optional<DataPosition>;
-    auto acquire(const Target &target, const Work &work) -> boost::asio::awaitable<LeaseResult>;
+    auto acquire(const Target &target, const StatementContext &context) -> boost::asio::awaitable<LeaseResult>;
 
-    auto workOf(Statement statement, membership::ServiceView service) const -> Work;
-    auto noteWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void;
-    auto noteProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void;
+    auto makeContext(Statement statement, membership::ServiceView service) const -> StatementContext;
+    auto recordWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void;
+    auto recordProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void;
     /// Logs and counts that the statement did not run at the last member and is retried.
-    auto noteMoved(const FailureReply &why) -> void;
+    auto recordRetry(const FailureReply &why) -> void;
     /// Records that \p member lags behind the position that a read requires, as reported in \p why.
-    auto noteLagging(const Member &member, const FailureReply &why) -> void;
-    auto noteServed(const ServiceId &service, Access access, const Member &member, Duration latency) -> void;
-    auto failed(FailureReply why) -> Reply;
+    auto recordLagging(const Member &member, const FailureReply &why) -> void;
+    auto recordServed(const ServiceId &service, Access access, const Member &member, Duration latency) -> void;
+    auto fail(FailureReply why) -> Reply;
 
     std::shared_ptr<SessionCore> core;
     std::string database;
--- a/lib/Interactive/reply.cpp
+++ b/lib/Interactive/reply.cpp
@@ -36,7 +36,7 @@
     return "unknown";
 }
 
-auto promisesNothingKept(Failure failure) -> bool
+auto guaranteesNoEffect(Failure failure) -> bool
 {
     switch (failure) {
     case Failure::Busy:
--- a/lib/Interactive/runvalues.cpp
+++ b/lib/Interactive/runvalues.cpp
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 
 /// Timeout of a rollback on a connection to be reused; a connection that does not answer is closed, which also rolls back.
-constexpr auto rollbackLimit = std::chrono::milliseconds(1'000);
+constexpr auto rollbackTimeout = std::chrono::milliseconds(1'000);
 
 } // namespace
 
@@ -24,7 +24,7 @@
     return command;
 }
 
-auto replyOf(const CommandResult &result, TransactionStatus status) -> Reply
+auto toReply(const CommandResult &result, TransactionStatus status) -> Reply
 {
     return {result.rows, result.signature, result.failure, status, result.position};
 }
@@ -41,20 +41,20 @@
     return {failure, std::move(detail), retryAfter};
 }
 
-auto brokenReply() -> FailureReply
+auto connectionBrokenFailure() -> FailureReply
 {
     return makeFailure(Failure::Unreachable, "the connection to the upstream broke");
 }
 
-auto mayGoElsewhere(Failure failure) -> bool
+auto mayRetryElsewhere(Failure failure) -> bool
 {
-    return promisesNothingKept(failure) && failure != Failure::Aborted;
+    return guaranteesNoEffect(failure) && failure != Failure::Aborted;
 }
 
-auto rollBack(std::shared_ptr<LinkLease> lease) -> asio::awaitable<void>
+auto rollBackAndRelease(std::shared_ptr<LinkLease> lease) -> asio::awaitable<void>
 {
     const auto commands = std::vector<Command>{commandOfKind(CommandKind::Rollback)};
-    const auto exchange = co_await lease->link().exchange(commands, rollbackLimit);
+    const auto exchange = co_await lease->link().exchange(commands, rollbackTimeout);
     const auto clean
         = !exchange.broken && exchange.results.size() == 1 && !exchange.results.front().failure && exchange.results.front().status == TransactionStatus::None;
     if (clean) {
--- a/lib/Interactive/runvalues.h
+++ b/lib/Interactive/runvalues.h
@@ -21,27 +21,27 @@
 using SteadyClock = std::chrono::steady_clock;
 
 /// Attempts at a statement before its failure is returned: each member of a typical group once, and the primary once more.
-constexpr auto attempts = 4;
+constexpr auto maxAttempts = 4;
 
 /// Retry delay for callers when a promotion did not complete in time.
-constexpr auto promotionRetry = std::chrono::milliseconds(300);
+constexpr auto promotionRetryAfter = std::chrono::milliseconds(300);
 
 [[nodiscard]] auto commandOfKind(CommandKind kind, std::string id = {}) -> Command;
 
 /// \return the caller's reply for \p result
-[[nodiscard]] auto replyOf(const CommandResult &result, TransactionStatus status) -> Reply;
+[[nodiscard]] auto toReply(const CommandResult &result, TransactionStatus status) -> Reply;
 
 [[nodiscard]] auto makeReply(TransactionStatus status) -> Reply;
 
 [[nodiscard]] auto makeFailure(Failure failure, std::string detail, std::optional<std::chrono::milliseconds> retryAfter = std::nullopt) -> FailureReply;
 
 /// \return the failure of a statement whose connection broke, and that was not sent or is a read
-[[nodiscard]] auto brokenReply() -> FailureReply;
+[[nodiscard]] auto connectionBrokenFailure() -> FailureReply;
 
 /// \return whether \p failure says that the upstream did not run the statement, so that it may be retried at another one
-[[nodiscard]] auto mayGoElsewhere(Failure failure) -> bool;
+[[nodiscard]] auto mayRetryElsewhere(Failure failure) -> bool;
 
 /// Rolls back the transaction on \p lease and returns the connection to the pool, so that it need not be reopened.
-auto rollBack(std::shared_ptr<LinkLease> lease) -> boost::asio::awaitable<void>;
+auto rollBackAndRelease(std::shared_ptr<LinkLease> lease) -> boost::asio::awaitable<void>;
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/sessioncore.cpp
+++ b/lib/Interactive/sessioncore.cpp
@@ -22,29 +22,29 @@
 
 /// Timeout of a probe. A healthy upstream accepts a connection within some tens of milliseconds, an overloaded one within some more.
 /// This timeout plus the unresponsive period before the probe stays well below the second that a promotion itself takes.
-constexpr auto lookLimit = std::chrono::milliseconds(400);
+constexpr auto probeTimeout = std::chrono::milliseconds(400);
 
 /// Timeout of a position proof. It takes the primary one round trip, and some tens of milliseconds more if a connection must be opened
 /// first. A read that would wait longer is served sooner by the primary.
-constexpr auto proofLimit = std::chrono::milliseconds(100);
+constexpr auto proofTimeout = std::chrono::milliseconds(100);
 
 /// A proof is replaced after the accepted age divided by this, so that the new one arrives before the old one expires.
-constexpr auto ageingPart = 2;
+constexpr auto proofAgeingDivisor = 2;
 
 /// Backoff after a primary gave no proof. Reads go to the primary in that time.
-constexpr auto proofRest = std::chrono::milliseconds(100);
+constexpr auto proofBackoff = std::chrono::milliseconds(100);
 
 /// Control sends a started proxy its view within a few hundred milliseconds of its own start.
-constexpr auto firstViewPatience = std::chrono::milliseconds(400);
+constexpr auto firstViewWaitLimit = std::chrono::milliseconds(400);
 
 /// Control answers five times a second, and a broken connection to it is reopened within half of this time.
-constexpr auto contactLimit = std::chrono::milliseconds(1'000);
+constexpr auto contactTimeout = std::chrono::milliseconds(1'000);
 
 /// Statements that find the same primary unreachable at the same time share one probe.
-constexpr auto lookSpacing = std::chrono::milliseconds(100);
+constexpr auto minProbeInterval = std::chrono::milliseconds(100);
 
 /// Control evaluates the suspicions of two seconds together; more than a few per proxy in that time add no information.
-constexpr auto suspicionSpacing = std::chrono::milliseconds(300);
+constexpr auto minSuspicionInterval = std::chrono::milliseconds(300);
 
 auto presentUpstreams(const membership::ClusterView &view) -> std::set<UpstreamId>
 {
@@ -90,7 +90,7 @@
     this->retireLinks(*former);
     const auto present = presentUpstreams(*this->view);
     this->load.keepOnly(present);
-    for (auto *const times : {&this->looked, &this->suspected}) {
+    for (auto *const times : {&this->lastProbed, &this->lastSuspected}) {
         std::erase_if(*times, [&present](const auto &entry) {
             return !present.contains(entry.first);
         });
@@ -109,9 +109,9 @@
     return this->view->configuration > Revision(0) && this->parts.views->leaseLive(support::now());
 }
 
-auto SessionCore::hearsControl() const -> bool
+auto SessionCore::hasControlContact() const -> bool
 {
-    return support::now() - this->parts.views->lastContact() < contactLimit;
+    return support::now() - this->parts.views->lastContact() < contactTimeout;
 }
 
 auto SessionCore::revision() const -> Revision
@@ -151,28 +151,28 @@
 auto SessionCore::awaitFirstView() -> asio::awaitable<void>
 {
     const auto self = this->shared_from_this();
-    const auto until = std::chrono::steady_clock::now() + firstViewPatience;
+    const auto until = std::chrono::steady_clock::now() + firstViewWaitLimit;
     while (this->view->configuration == Revision(0) && std::chrono::steady_clock::now() < until) {
         co_await this->viewSignal.wait(until);
     }
 }
 
-auto SessionCore::awaitPrimary(GroupId group, std::optional<Member> refuted, Duration patience) -> asio::awaitable<std::optional<Member>>
+auto SessionCore::awaitPrimary(GroupId group, std::optional<Member> stalePrimary, Duration waitLimit) -> asio::awaitable<std::optional<Member>>
 {
     const auto self = this->shared_from_this();
-    auto refutedId = std::optional<UpstreamId>();
-    if (refuted) {
-        refutedId = refuted->upstream.id;
-        this->search.refute(group, *refutedId);
+    auto stalePrimaryId = std::optional<UpstreamId>();
+    if (stalePrimary) {
+        stalePrimaryId = stalePrimary->upstream.id;
+        this->search.refute(group, *stalePrimaryId);
     }
     const auto began = std::chrono::steady_clock::now();
-    const auto until = began + patience;
+    const auto until = began + waitLimit;
     // A committed view arrives within some milliseconds. If it takes longer it may never arrive: this proxy may be partitioned off.
-    auto searchAt = this->hearsControl() ? began + PrimarySearch::viewPatience : began;
+    auto searchAt = this->hasControlContact() ? began + PrimarySearch::viewPatience : began;
     auto mayComeYet = true;
     while (true) {
         auto primary = this->primaryOf(group);
-        const auto isOther = primary && (!refuted || refuted->term != primary->term || refuted->upstream.id != primary->upstream.id);
+        const auto isOther = primary && (!stalePrimary || stalePrimary->term != primary->term || stalePrimary->upstream.id != primary->upstream.id);
         if (isOther) {
             co_return primary;
         }
@@ -181,9 +181,9 @@
             co_return std::nullopt;
         }
         if (now >= searchAt) {
-            co_await searchPrimary(self, group, refutedId);
+            co_await searchPrimary(self, group, stalePrimaryId);
             // Without control no view can name a primary here, while another proxy may be able to serve the statement.
-            mayComeYet = this->hearsControl();
+            mayComeYet = this->hasControlContact();
             searchAt = std::chrono::steady_clock::now() + PrimarySearch::viewPatience;
             continue;
         }
@@ -191,15 +191,15 @@
     }
 }
 
-auto SessionCore::awaitViewChange(Duration patience) -> asio::awaitable<void>
+auto SessionCore::awaitViewChange(Duration waitLimit) -> asio::awaitable<void>
 {
     const auto self = this->shared_from_this();
-    if (this->hearsControl()) {
-        co_await this->viewSignal.wait(std::chrono::steady_clock::now() + patience);
+    if (this->hasControlContact()) {
+        co_await this->viewSignal.wait(std::chrono::steady_clock::now() + waitLimit);
     }
 }
 
-auto SessionCore::searchPrimary(std::shared_ptr<SessionCore> self, GroupId group, std::optional<UpstreamId> refuted) -> asio::awaitable<void>
+auto SessionCore::searchPrimary(std::shared_ptr<SessionCore> self, GroupId group, std::optional<UpstreamId> stalePrimary) -> asio::awaitable<void>
 {
     const auto flight = self->searching.begin(group);
     if (flight == nullptr) {
@@ -210,10 +210,10 @@
         co_return;
     }
     for (const auto &member : self->readersOf(group)) {
-        if (refuted && member.upstream.id == *refuted) {
+        if (stalePrimary && member.upstream.id == *stalePrimary) {
             continue;
         }
-        const auto proof = co_await self->parts.pool->prove(group, member.upstream, Duration(0), proofLimit);
+        const auto proof = co_await self->parts.pool->prove(group, member.upstream, Duration(0), proofTimeout);
         if (proof) {
             self->search.note(group, member.term, member.upstream.id);
             self->proofsOf(group).note(proof->sent, proof->position);
@@ -234,35 +234,35 @@
         return;
     }
     const auto now = support::now();
-    auto &last = this->suspected[member.upstream.id];
-    if (now - last < suspicionSpacing) {
+    auto &last = this->lastSuspected[member.upstream.id];
+    if (now - last < minSuspicionInterval) {
         return;
     }
     last = now;
     support::log(support::Event::PrimarySuspected, {{"group", member.group.value()}, {"upstream", member.upstream.id.value()}, {"term", member.term.value()}});
     this->parts.control->suspect({member.group, member.term, member.upstream.id});
-    if (!this->hearsControl()) {
+    if (!this->hasControlContact()) {
         asio::co_spawn(this->parts.executor, searchPrimary(this->shared_from_this(), member.group, member.upstream.id), asio::detached);
     }
 }
 
-auto SessionCore::look(const Member &member, bool thorough) -> void
+auto SessionCore::probe(const Member &member, bool thorough) -> void
 {
     const auto now = support::now();
-    auto &last = this->looked[member.upstream.id];
-    if (!member.isPrimary || (!thorough && now - last < lookSpacing)) {
+    auto &last = this->lastProbed[member.upstream.id];
+    if (!member.isPrimary || (!thorough && now - last < minProbeInterval)) {
         return;
     }
-    if (this->lookedAt.insert(member.upstream.id).second) {
+    if (this->probing.insert(member.upstream.id).second) {
         last = now;
-        asio::co_spawn(this->parts.executor, connectTo(this->shared_from_this(), member, thorough), asio::detached);
+        asio::co_spawn(this->parts.executor, runProbe(this->shared_from_this(), member, thorough), asio::detached);
     }
 }
 
-auto SessionCore::connectTo(std::shared_ptr<SessionCore> self, Member member, bool thorough) -> asio::awaitable<void>
+auto SessionCore::runProbe(std::shared_ptr<SessionCore> self, Member member, bool thorough) -> asio::awaitable<void>
 {
-    const auto why = co_await self->parts.pool->probe(member.group, member.upstream, lookLimit, thorough);
-    self->lookedAt.erase(member.upstream.id);
+    const auto why = co_await self->parts.pool->probe(member.group, member.upstream, probeTimeout, thorough);
+    self->probing.erase(member.upstream.id);
     if (why && why->failure == Failure::Unreachable) {
         self->suspect(member);
     }
@@ -274,7 +274,7 @@
     const auto upstream = member.upstream.id;
     if (member.isPrimary) {
         this->watch.sent(upstream, support::now());
-        this->watchOn();
+        this->scheduleWatch();
     }
     auto result = co_await link.exchange(commands, limit);
     if (member.isPrimary) {
@@ -287,7 +287,7 @@
 {
     const auto self = this->shared_from_this();
     const auto primary = this->primaryOf(group);
-    if (!primary || support::now() < this->provingRests[group]) {
+    if (!primary || support::now() < this->proofBackoffUntil[group]) {
         co_return;
     }
     const auto flight = this->proving.begin(group);
@@ -295,39 +295,39 @@
         co_await this->proving.join(group);
         co_return;
     }
-    const auto proof = co_await this->parts.pool->prove(group, primary->upstream, readAge / ageingPart, proofLimit);
+    const auto proof = co_await this->parts.pool->prove(group, primary->upstream, readAge / proofAgeingDivisor, proofTimeout);
     if (proof) {
         this->proofsOf(group).note(proof->sent, proof->position);
     } else {
-        this->provingRests[group] = support::now() + proofRest;
+        this->proofBackoffUntil[group] = support::now() + proofBackoff;
     }
 }
 
 auto SessionCore::refreshAgeingProof(const GroupId &group, Duration readAge) -> void
 {
-    if (this->isAgeing(group, readAge)) {
-        asio::co_spawn(this->parts.executor, keepFresh(this->shared_from_this(), group, readAge), asio::detached);
+    if (this->isProofAgeing(group, readAge)) {
+        asio::co_spawn(this->parts.executor, replaceAgeingProof(this->shared_from_this(), group, readAge), asio::detached);
     }
 }
 
-auto SessionCore::keepFresh(std::shared_ptr<SessionCore> self, GroupId group, Duration readAge) -> asio::awaitable<void>
+auto SessionCore::replaceAgeingProof(std::shared_ptr<SessionCore> self, GroupId group, Duration readAge) -> asio::awaitable<void>
 {
     // Many statements may have found the same proof ageing; only the first of them replaces it.
-    if (self->isAgeing(group, readAge)) {
+    if (self->isProofAgeing(group, readAge)) {
         co_await self->refreshProof(std::move(group), readAge);
     }
 }
 
-auto SessionCore::isAgeing(const GroupId &group, Duration readAge) const -> bool
+auto SessionCore::isProofAgeing(const GroupId &group, Duration readAge) const -> bool
 {
     const auto found = this->proofs.find(group);
     const auto newest = found == this->proofs.end() ? std::nullopt : found->second.newest();
-    return newest && support::now() - newest->sent > readAge / ageingPart;
+    return newest && support::now() - newest->sent > readAge / proofAgeingDivisor;
 }
 
-auto SessionCore::watchOn() -> void
+auto SessionCore::scheduleWatch() -> void
 {
-    if (std::exchange(this->watching, true)) {
+    if (std::exchange(this->watchScheduled, true)) {
         return;
     }
     this->watchTimer.expires_after(watchInterval);
@@ -336,14 +336,14 @@
         if (error || self == nullptr) {
             return;
         }
-        self->watching = false;
-        for (const auto &look : self->watch.due(support::now())) {
-            if (const auto member = self->findMember(look.upstream)) {
-                self->look(*member, look.thorough);
+        self->watchScheduled = false;
+        for (const auto &due : self->watch.due(support::now())) {
+            if (const auto member = self->findMember(due.upstream)) {
+                self->probe(*member, due.thorough);
             }
         }
         if (self->watch.isActive()) {
-            self->watchOn();
+            self->scheduleWatch();
         }
     });
 }
--- a/lib/Interactive/sessioncore.h
+++ b/lib/Interactive/sessioncore.h
@@ -60,30 +60,30 @@
     [[nodiscard]] auto readersOf(const GroupId &group) const -> std::vector<Member>;
 
     /// \return whether the last contact with control is recent
-    [[nodiscard]] auto hearsControl() const -> bool;
+    [[nodiscard]] auto hasControlContact() const -> bool;
 
-    /// Waits until control has sent this proxy a view, for firstViewPatience at most.
+    /// Waits until control has sent this proxy a view, for firstViewWaitLimit at most.
     ///
     /// Load pattern: after a power failure all callers connect at once, and proxies have no view for a few hundred milliseconds. A caller
     /// that is refused uses up an attempt and retries later than the view arrives; one that waits here is served once it arrives.
     auto awaitFirstView() -> boost::asio::awaitable<void>;
 
-    /// Waits until the group has a primary other than \p refuted, which reported that it is not one, for \p patience at most.
+    /// Waits until the group has a primary other than \p stalePrimary, which reported that it is not one, for \p waitLimit at most.
     ///
     /// A promotion takes about a second, and no proxy can serve a write before it completes. A caller that is refused uses up its
     /// attempts in that time; one that waits here is served by the first connection to the new primary. Without contact to control no
     /// view can name that primary: the members are asked for it instead, once, and if none proves to be primary the wait ends.
-    auto awaitPrimary(GroupId group, std::optional<Member> refuted, Duration patience) -> boost::asio::awaitable<std::optional<Member>>;
+    auto awaitPrimary(GroupId group, std::optional<Member> stalePrimary, Duration waitLimit) -> boost::asio::awaitable<std::optional<Member>>;
 
-    /// Waits until a new view arrives, for \p patience at most. Returns at once without contact to control, since no view can arrive.
-    auto awaitViewChange(Duration patience) -> boost::asio::awaitable<void>;
+    /// Waits until a new view arrives, for \p waitLimit at most. Returns at once without contact to control, since no view can arrive.
+    auto awaitViewChange(Duration waitLimit) -> boost::asio::awaitable<void>;
 
     /// Reports to control that \p member is unreachable, if it is a primary.
     auto suspect(const Member &member) -> void;
 
     /// Probes in the background whether \p member accepts a connection, if it is a primary, and reports a suspicion if it does not.
     /// \param thorough whether the upstream must also greet; such a probe is not rate-limited
-    auto look(const Member &member, bool thorough = true) -> void;
+    auto probe(const Member &member, bool thorough = true) -> void;
 
     /// Runs commands on a connection to \p member. While they run, an unresponsive primary is detected and probed.
     auto exchange(const Member &member, UpstreamLink &link, std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult>;
@@ -114,33 +114,33 @@
 
 private:
     [[nodiscard]] auto findGroup(const GroupId &group) const -> const membership::GroupView *;
-    /// Asks the members of \p group other than \p refuted whether they are primary. Concurrent calls wait for the same search.
-    static auto searchPrimary(std::shared_ptr<SessionCore> self, GroupId group, std::optional<UpstreamId> refuted) -> boost::asio::awaitable<void>;
-    static auto connectTo(std::shared_ptr<SessionCore> self, Member member, bool thorough) -> boost::asio::awaitable<void>;
-    auto watchOn() -> void;
+    /// Asks the members of \p group other than \p stalePrimary whether they are primary. Concurrent calls wait for the same search.
+    static auto searchPrimary(std::shared_ptr<SessionCore> self, GroupId group, std::optional<UpstreamId> stalePrimary) -> boost::asio::awaitable<void>;
+    static auto runProbe(std::shared_ptr<SessionCore> self, Member member, bool thorough) -> boost::asio::awaitable<void>;
+    auto scheduleWatch() -> void;
     [[nodiscard]] auto findMember(const UpstreamId &upstream) const -> std::optional<Member>;
     auto retireLinks(const membership::ClusterView &former) -> void;
 
     std::shared_ptr<const membership::ClusterView> view;
     std::unordered_map<std::string_view, const membership::ServiceView *> services;
-    [[nodiscard]] auto isAgeing(const GroupId &group, Duration readAge) const -> bool;
-    static auto keepFresh(std::shared_ptr<SessionCore> self, GroupId group, Duration readAge) -> boost::asio::awaitable<void>;
+    [[nodiscard]] auto isProofAgeing(const GroupId &group, Duration readAge) const -> bool;
+    static auto replaceAgeingProof(std::shared_ptr<SessionCore> self, GroupId group, Duration readAge) -> boost::asio::awaitable<void>;
 
     std::map<GroupId, PositionProofs> proofs;
     SingleFlight<GroupId> proving;
     /// Backoff per group: until when no proof is requested after its primary gave none.
-    std::map<GroupId, TimePoint> provingRests;
+    std::map<GroupId, TimePoint> proofBackoffUntil;
     /// When each primary was last reported to control as unreachable.
-    std::map<UpstreamId, TimePoint> suspected;
+    std::map<UpstreamId, TimePoint> lastSuspected;
     PrimarySearch search;
     SingleFlight<GroupId> searching;
     PrimaryWatch watch;
     boost::asio::steady_timer watchTimer;
-    bool watching = false;
+    bool watchScheduled = false;
     /// When each member was last probed.
-    std::map<UpstreamId, TimePoint> looked;
+    std::map<UpstreamId, TimePoint> lastProbed;
     /// Members with a probe in progress.
-    std::set<UpstreamId> lookedAt;
+    std::set<UpstreamId> probing;
     support::Signal viewSignal;
 };
 
--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -17,16 +17,16 @@
 namespace asio = boost::asio;
 
 /// A read waits for a replica for at most the objective divided by this; three quarters are left for another member.
-constexpr auto replicaPart = 4;
+constexpr auto replicaWaitDivisor = 4;
 
 /// A statement waits for the primary, or for one to be promoted, for at most the route's timeout divided by this; the other half is left
 /// to run it. No other proxy can serve it sooner, and a caller that is refused only retries into the same queue, with one attempt fewer.
-constexpr auto primaryPart = 2;
+constexpr auto primaryWaitDivisor = 2;
 
 /// Delay before a statement is retried at a primary that did not run it, unless a new view arrives first. Without it all attempts would
 /// be used up within a millisecond, while control needs some hundred milliseconds to detect a lost primary, and a full queue some ten
 /// milliseconds to shrink.
-constexpr auto primaryRetryPause = std::chrono::milliseconds(100);
+constexpr auto primaryRetryDelay = std::chrono::milliseconds(100);
 
 /// Opening a connection takes two round trips and the upstream's own handshake: some tens of milliseconds, on a busy upstream some more.
 /// If it is not open in this time, another proxy or member is tried; waiting for the retransmission of a lost packet would take a second.
@@ -42,44 +42,47 @@
     return service.objective.count() > 0 ? std::min(service.objective, service.timeout) : service.timeout;
 }
 
-auto queuePatience(const membership::ServiceView &service, bool atPrimary) -> Duration
+auto queueWaitLimit(const membership::ServiceView &service, bool atPrimary) -> Duration
 {
-    return atPrimary ? service.timeout / primaryPart : objectiveOf(service) / replicaPart;
+    return atPrimary ? service.timeout / primaryWaitDivisor : objectiveOf(service) / replicaWaitDivisor;
 }
 
 } // namespace
 
-auto CallerSession::pick(bool needsPrimary, const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted)
+auto CallerSession::pick(bool needsPrimary, const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
     -> asio::awaitable<TargetResult>
 {
-    return needsPrimary ? this->pickPrimary(work, excluded, refuted) : this->pickReader(work, excluded, refuted);
+    return needsPrimary ? this->pickPrimary(context, excluded, stalePrimary) : this->pickReader(context, excluded, stalePrimary);
 }
 
-auto CallerSession::pickPrimary(const Work &work, const std::set<UpstreamId> &tried, const std::optional<Member> &refuted) -> asio::awaitable<TargetResult>
+auto CallerSession::pickPrimary(const StatementContext &context, const std::set<UpstreamId> &tried, const std::optional<Member> &stalePrimary)
+    -> asio::awaitable<TargetResult>
 {
-    if (const auto known = this->core->primaryOf(work.service.group); known && tried.contains(known->upstream.id) && !refuted) {
-        co_await this->core->awaitViewChange(std::min<Duration>(primaryRetryPause, work.left()));
+    if (const auto known = this->core->primaryOf(context.service.group); known && tried.contains(known->upstream.id) && !stalePrimary) {
+        co_await this->core->awaitViewChange(std::min<Duration>(primaryRetryDelay, context.remaining()));
     }
-    auto primary = co_await this->core->awaitPrimary(work.service.group, refuted, std::min<Duration>(work.left(), work.service.timeout / primaryPart));
+    auto primary = co_await this->core->awaitPrimary(
+        context.service.group, stalePrimary, std::min<Duration>(context.remaining(), context.service.timeout / primaryWaitDivisor));
     if (!primary) {
-        co_return makeFailure(Failure::Busy, "group " + work.service.group.value() + " has no primary", promotionRetry);
+        co_return makeFailure(Failure::Busy, "group " + context.service.group.value() + " has no primary", promotionRetryAfter);
     }
-    co_return targetAt(*std::move(primary), std::nullopt);
+    co_return makeTarget(*std::move(primary), std::nullopt);
 }
 
-auto CallerSession::pickReader(const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted) -> asio::awaitable<TargetResult>
+auto CallerSession::pickReader(const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
+    -> asio::awaitable<TargetResult>
 {
-    auto needed = this->neededPosition(work.service);
+    auto needed = this->neededPosition(context.service);
     if (needed) {
-        this->core->refreshAgeingProof(work.service.group, work.service.readAge);
-    } else if (acceptsAge(work.service)) {
-        co_await this->core->refreshProof(work.service.group, work.service.readAge);
-        needed = this->neededPosition(work.service);
+        this->core->refreshAgeingProof(context.service.group, context.service.readAge);
+    } else if (acceptsAge(context.service)) {
+        co_await this->core->refreshProof(context.service.group, context.service.readAge);
+        needed = this->neededPosition(context.service);
     }
     if (!needed) {
-        co_return co_await this->pickPrimary(work, excluded, refuted);
+        co_return co_await this->pickPrimary(context, excluded, stalePrimary);
     }
-    auto members = this->core->readersOf(work.service.group);
+    auto members = this->core->readersOf(context.service.group);
     std::erase_if(members, [&excluded](const Member &member) {
         return excluded.contains(member.upstream.id);
     });
@@ -90,12 +93,12 @@
     }
     const auto *const chosen = this->core->load.choose(candidates, support::now());
     if (chosen == nullptr) {
-        co_return co_await this->pickPrimary(work, excluded, refuted);
+        co_return co_await this->pickPrimary(context, excluded, stalePrimary);
     }
     const auto member = std::find_if(members.begin(), members.end(), [chosen](const Member &candidate) {
         return candidate.upstream.id == chosen->upstream;
     });
-    co_return targetAt(*member, member->isPrimary ? std::nullopt : needed);
+    co_return makeTarget(*member, member->isPrimary ? std::nullopt : needed);
 }
 
 auto CallerSession::neededPosition(const membership::ServiceView &service) const -> std::optional<DataPosition>
@@ -111,14 +114,14 @@
     return needed;
 }
 
-auto CallerSession::acquire(const Target &target, const Work &work) -> asio::awaitable<LeaseResult>
+auto CallerSession::acquire(const Target &target, const StatementContext &context) -> asio::awaitable<LeaseResult>
 {
     auto claim = LinkClaim();
     claim.values = this->state.values;
-    claim.patience = std::min<Duration>(queuePatience(work.service, target.member.isPrimary), work.left());
-    claim.connectLimit = std::min<Duration>(connectLimit, work.left());
-    claim.objective = objectiveOf(work.service);
-    claim.priority = work.service.priority;
+    claim.patience = std::min<Duration>(queueWaitLimit(context.service, target.member.isPrimary), context.remaining());
+    claim.connectLimit = std::min<Duration>(connectLimit, context.remaining());
+    claim.objective = objectiveOf(context.service);
+    claim.priority = context.service.priority;
     auto result = co_await this->core->parts.pool->acquire(target.member.group, target.member.upstream, std::move(claim));
     if (const auto *const why = std::get_if<FailureReply>(&result); why != nullptr && why->failure != Failure::Busy) {
         this->core->load.failed(target.member.upstream.id, support::now());
@@ -126,7 +129,7 @@
     if (const auto *const why = std::get_if<FailureReply>(&result); why != nullptr && why->failure == Failure::Unreachable) {
         // This result may come from another proxy that owns the connections, or from a recent attempt. Control counts what the proxies
         // of several availability zones observe themselves, so this proxy probes the member before it reports a suspicion.
-        this->core->look(target.member, false);
+        this->core->probe(target.member, false);
     }
     co_return result;
 }
--- a/lib/Interactive/sessionservice.cpp
+++ b/lib/Interactive/sessionservice.cpp
@@ -13,12 +13,12 @@
 {
 
 /// Retry delay for a caller that connects before the first view: control sends a started proxy its view within a few hundred milliseconds.
-constexpr auto noViewRetry = std::chrono::milliseconds(500);
+constexpr auto noViewRetryAfter = std::chrono::milliseconds(500);
 
-class PlainSessionService : public SessionService
+class DefaultSessionService : public SessionService
 {
 public:
-    explicit PlainSessionService(SessionServiceParts parts)
+    explicit DefaultSessionService(SessionServiceParts parts)
         : core(std::make_shared<SessionCore>(std::move(parts)))
     {
     }
@@ -30,7 +30,7 @@
         }
         // Without a current view the proxy cannot distinguish a newly added name from one that does not exist.
         if (!this->core->hasCurrentView()) {
-            return FailureReply{Failure::Busy, "the proxy has no current view of the configuration", noViewRetry};
+            return FailureReply{Failure::Busy, "the proxy has no current view of the configuration", noViewRetryAfter};
         }
         return FailureReply{Failure::UnknownDatabase, "no service is called " + std::string(database), {}};
     }
@@ -68,7 +68,7 @@
 
 auto makeSessionService(SessionServiceParts parts) -> std::shared_ptr<SessionService>
 {
-    return std::make_shared<PlainSessionService>(std::move(parts));
+    return std::make_shared<DefaultSessionService>(std::move(parts));
 }
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/sessiontransaction.cpp
+++ b/lib/Interactive/sessiontransaction.cpp
@@ -22,34 +22,34 @@
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
 /// Delay before a statement of an open transaction is resent to an upstream whose queue was full.
-constexpr auto fullQueuePause = std::chrono::milliseconds(20);
+constexpr auto fullQueueRetryDelay = std::chrono::milliseconds(20);
 
 /// Idle-in-transaction timeout of a service whose configuration sets none.
-constexpr auto usualIdleLimit = std::chrono::milliseconds(10'000);
+constexpr auto defaultIdleTimeout = std::chrono::milliseconds(10'000);
 
 } // namespace
 
-auto CallerSession::openTransaction(const Work &work) -> asio::awaitable<std::optional<FailureReply>>
+auto CallerSession::openTransaction(const StatementContext &context) -> asio::awaitable<std::optional<FailureReply>>
 {
     auto excluded = std::set<UpstreamId>();
-    auto refuted = std::optional<Member>();
-    auto why = makeFailure(Failure::Busy, "no upstream could take the transaction in time", promotionRetry);
-    for (auto attempt = 0; attempt < attempts && work.left() > Duration(0); ++attempt) {
-        auto picked = co_await this->pick(!this->transaction->readOnly, work, excluded, refuted);
+    auto stalePrimary = std::optional<Member>();
+    auto why = makeFailure(Failure::Busy, "no upstream could take the transaction in time", promotionRetryAfter);
+    for (auto attempt = 0; attempt < maxAttempts && context.remaining() > Duration(0); ++attempt) {
+        auto picked = co_await this->pick(!this->transaction->readOnly, context, excluded, stalePrimary);
         if (auto *const none = std::get_if<FailureReply>(&picked)) {
             co_return std::move(*none);
         }
         const auto &target = std::get<Target>(picked);
-        auto notOpened = co_await this->openAt(target, work);
+        auto notOpened = co_await this->openAt(target, context);
         if (!notOpened) {
             ++this->core->counts.transactions;
             co_return std::nullopt;
         }
         why = std::move(notOpened->why);
-        this->noteMoved(why);
+        this->recordRetry(why);
         excluded.insert(target.member.upstream.id);
-        if (notOpened->refuted) {
-            refuted = target.member;
+        if (notOpened->notPrimary) {
+            stalePrimary = target.member;
         } else if (target.member.isPrimary && why.failure == Failure::Busy && !this->transaction->readOnly) {
             break;
         }
@@ -57,61 +57,61 @@
     co_return why;
 }
 
-auto CallerSession::openAt(const Target &target, const Work &work) -> asio::awaitable<std::optional<TryElsewhere>>
+auto CallerSession::openAt(const Target &target, const StatementContext &context) -> asio::awaitable<std::optional<RetryElsewhere>>
 {
     this->currentUpstream = target.member.upstream.id.value();
-    auto leased = co_await this->acquire(target, work);
+    auto leased = co_await this->acquire(target, context);
     if (auto *const none = std::get_if<FailureReply>(&leased)) {
-        co_return elsewhere(std::move(*none));
+        co_return retryElsewhere(std::move(*none));
     }
     auto lease = std::get<LinkLease>(std::move(leased));
     // At a primary even a read-only transaction begins as a read-write one, which a stale primary refuses.
     auto begin = commandOfKind(target.member.isPrimary ? CommandKind::Begin : CommandKind::BeginReadOnly);
     begin.after = target.after;
-    if (auto why = co_await prepareLink(lease.link(), this->state, work.shapePointer(), &begin, work.left())) {
-        const auto refuted = why->failure == Failure::ReadOnly;
-        if (refuted || why->failure == Failure::Lagging) {
-            this->noteLagging(target.member, *why);
+    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
+        const auto notPrimary = why->failure == Failure::ReadOnly;
+        if (notPrimary || why->failure == Failure::Lagging) {
+            this->recordLagging(target.member, *why);
             lease.giveBack();
         } else {
-            this->core->look(target.member);
+            this->core->probe(target.member);
             this->core->load.failed(target.member.upstream.id, support::now());
         }
-        co_return elsewhere(*std::move(why), refuted && target.member.isPrimary);
+        co_return retryElsewhere(*std::move(why), notPrimary && target.member.isPrimary);
     }
     this->transaction->member = target.member;
     this->transaction->lease.emplace(std::move(lease));
     co_return std::nullopt;
 }
 
-auto CallerSession::runInTransaction(const Work &work) -> asio::awaitable<Reply>
+auto CallerSession::runInTransaction(const StatementContext &context) -> asio::awaitable<Reply>
 {
     if (this->core->abortsTransactions) {
         co_return this->failTransaction(makeFailure(Failure::Aborted, "the proxy is stopping; connect again", std::chrono::milliseconds(0)));
     }
-    if (work.access == Access::Write && this->transaction->readOnly) {
+    if (context.access == Access::Write && this->transaction->readOnly) {
         co_return this->failTransaction(makeFailure(Failure::ReadOnly, "the transaction was begun for reading only"));
     }
     if (!this->transaction->lease) {
-        if (auto why = co_await this->openTransaction(work)) {
+        if (auto why = co_await this->openTransaction(context)) {
             co_return this->failTransaction(*std::move(why));
         }
-    } else if (auto why = co_await prepareLink(this->transaction->lease->link(), this->state, work.shapePointer(), nullptr, work.left())) {
-        this->core->look(this->transaction->member);
+    } else if (auto why = co_await prepareLink(this->transaction->lease->link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+        this->core->probe(this->transaction->member);
         co_return this->failTransaction(makeFailure(Failure::Aborted, "the connection broke; the transaction was rolled back"));
     }
-    const auto command = commandOf(work.statement, this->transaction->lease->link().state, work.shapePointer());
-    this->transaction->wrote = this->transaction->wrote || work.access == Access::Write;
-    const auto exchange = co_await this->exchangeInTransaction(work, command);
+    const auto command = commandOf(context.statement, this->transaction->lease->link().state, context.shapePointer());
+    this->transaction->wrote = this->transaction->wrote || context.access == Access::Write;
+    const auto exchange = co_await this->exchangeInTransaction(context, command);
     if (exchange.results.empty()) {
-        this->core->look(this->transaction->member);
+        this->core->probe(this->transaction->member);
         // Nothing was committed: the upstream rolls the transaction back when the connection closes.
         co_return this->failTransaction(makeFailure(Failure::Aborted, "no answer from the upstream; the transaction was rolled back"));
     }
     const auto &result = exchange.results.front();
     if (result.failure) {
         auto why = *result.failure;
-        if (result.status != TransactionStatus::Failed && mayGoElsewhere(why.failure)) {
+        if (result.status != TransactionStatus::Failed && mayRetryElsewhere(why.failure)) {
             why = makeFailure(Failure::Aborted, "the upstream took no statement in time; the transaction was rolled back", why.retryAfter);
         }
         auto reply = this->failTransaction(std::move(why));
@@ -122,45 +122,45 @@
         co_return this->failTransaction(makeFailure(Failure::Aborted, "the upstream ended the transaction"));
     }
     if (this->transaction->member.isPrimary) {
-        this->noteProof(this->transaction->member, exchange.sentAt, result.position);
+        this->recordProof(this->transaction->member, exchange.sentAt, result.position);
     }
-    this->noteServed(work.service.id, work.access, this->transaction->member, support::now() - exchange.sentAt);
-    co_return replyOf(result, TransactionStatus::Open);
+    this->recordServed(context.service.id, context.access, this->transaction->member, support::now() - exchange.sentAt);
+    co_return toReply(result, TransactionStatus::Open);
 }
 
-auto CallerSession::exchangeInTransaction(const Work &work, const Command &command) -> asio::awaitable<ExchangeResult>
+auto CallerSession::exchangeInTransaction(const StatementContext &context, const Command &command) -> asio::awaitable<ExchangeResult>
 {
     this->currentUpstream = this->transaction->member.upstream.id.value();
     const auto commands = std::vector<Command>{command};
     auto timer = asio::steady_timer(this->core->parts.executor);
     while (true) {
-        auto exchange = co_await this->core->exchange(this->transaction->member, this->transaction->lease->link(), commands, work.left());
+        auto exchange = co_await this->core->exchange(this->transaction->member, this->transaction->lease->link(), commands, context.remaining());
         // An upstream whose queue is full has not run the statement, and the transaction is still open. Aborting it would lose its
         // earlier statements to avoid a wait of some milliseconds.
         const auto full = !exchange.results.empty() && exchange.results.front().failure && exchange.results.front().failure->failure == Failure::Busy
             && exchange.results.front().status == TransactionStatus::Open;
-        if (!full || work.left() <= fullQueuePause) {
+        if (!full || context.remaining() <= fullQueueRetryDelay) {
             co_return exchange;
         }
-        timer.expires_after(fullQueuePause);
+        timer.expires_after(fullQueueRetryDelay);
         co_await timer.async_wait(awaitTuple);
     }
 }
 
-auto CallerSession::runCommit(const Work &work) -> asio::awaitable<Reply>
+auto CallerSession::runCommit(const StatementContext &context) -> asio::awaitable<Reply>
 {
-    auto command = commandOfKind(CommandKind::Commit, work.statement.id);
+    auto command = commandOfKind(CommandKind::Commit, context.statement.id);
     command.lasting = this->transaction->wrote;
-    const auto exchange = co_await this->exchangeInTransaction(work, command);
+    const auto exchange = co_await this->exchangeInTransaction(context, command);
     const auto ended = std::move(this->transaction);
     this->transactionStatus = TransactionStatus::None;
     --this->core->counts.transactions;
     if (exchange.results.empty()) {
-        this->core->look(ended->member);
+        this->core->probe(ended->member);
         if (!exchange.sent || !ended->wrote) {
-            co_return this->failed(makeFailure(Failure::Aborted, "the connection broke; nothing was written"));
+            co_return this->fail(makeFailure(Failure::Aborted, "the connection broke; nothing was written"));
         }
-        co_return this->failed(makeFailure(Failure::InDoubt, "the answer to the commit did not come"));
+        co_return this->fail(makeFailure(Failure::InDoubt, "the answer to the commit did not come"));
     }
     const auto &result = exchange.results.front();
     if (result.status == TransactionStatus::None) {
@@ -168,31 +168,31 @@
     }
     if (!result.failure) {
         if (ended->wrote) {
-            this->noteWrite(ended->member.group, result.position);
+            this->recordWrite(ended->member.group, result.position);
         }
         if (ended->member.isPrimary && ended->wrote) {
-            this->noteProof(ended->member, exchange.sentAt, result.position);
+            this->recordProof(ended->member, exchange.sentAt, result.position);
         }
-        this->noteServed(work.service.id, ended->wrote ? Access::Write : Access::Read, ended->member, support::now() - exchange.sentAt);
+        this->recordServed(context.service.id, ended->wrote ? Access::Write : Access::Read, ended->member, support::now() - exchange.sentAt);
     }
     // If the upstream did not end the transaction, dropping the lease closes the connection, which rolls the transaction back.
-    co_return replyOf(result, TransactionStatus::None);
+    co_return toReply(result, TransactionStatus::None);
 }
 
 auto CallerSession::failTransaction(FailureReply why) -> Reply
 {
-    this->abandon();
+    this->discardTransaction();
     this->transactionStatus = TransactionStatus::Failed;
-    return this->failed(std::move(why));
+    return this->fail(std::move(why));
 }
 
-auto CallerSession::abandon() -> void
+auto CallerSession::discardTransaction() -> void
 {
     if (this->transaction != nullptr && this->transaction->lease) {
         auto lease = std::make_shared<LinkLease>(*std::move(this->transaction->lease));
         this->transaction->lease.reset();
         --this->core->counts.transactions;
-        asio::co_spawn(this->core->parts.executor, rollBack(std::move(lease)), asio::detached);
+        asio::co_spawn(this->core->parts.executor, rollBackAndRelease(std::move(lease)), asio::detached);
     }
     this->transaction.reset();
 }
@@ -207,7 +207,7 @@
         this->idleTimer = std::make_unique<asio::steady_timer>(this->core->parts.executor);
     }
     const auto &service = this->transaction->service;
-    this->idleTimer->expires_after(service.transactionIdle.count() > 0 ? service.transactionIdle : usualIdleLimit);
+    this->idleTimer->expires_after(service.transactionIdle.count() > 0 ? service.transactionIdle : defaultIdleTimeout);
     this->idleTimer->async_wait([weak = this->weak_from_this()](const boost::system::error_code &error) {
         const auto self = weak.lock();
         if (error || self == nullptr || self->executing || self->transaction == nullptr) {
--- a/lib/Interactive/statementrun.cpp
+++ b/lib/Interactive/statementrun.cpp
@@ -42,7 +42,7 @@
     });
 }
 
-auto writtenOut(const std::optional<DataPosition> &position) -> std::string
+auto formatPosition(const std::optional<DataPosition> &position) -> std::string
 {
     return position ? std::to_string(position->term.value()) + "." + std::to_string(position->number.value()) : "none";
 }
@@ -53,8 +53,8 @@
 {
     auto failure = result.failure;
     if (failure && failure->failure == Failure::Lagging) {
-        failure->detail = "needs " + writtenOut(command.after) + ", holds " + writtenOut(result.position);
-        failure->held = result.position;
+        failure->detail = "needs " + formatPosition(command.after) + ", holds " + formatPosition(result.position);
+        failure->upstreamPosition = result.position;
     }
     return failure;
 }
@@ -63,18 +63,18 @@
 {
     auto commands = std::vector<Command>();
     const auto needsShape = shape != nullptr && !link.prepared.contains(*shape);
-    const auto clears = hasForeignValue(link, session) || (needsShape && link.prepared.size() >= preparedLimit);
-    if (clears) {
+    const auto needsDiscard = hasForeignValue(link, session) || (needsShape && link.prepared.size() >= preparedLimit);
+    if (needsDiscard) {
         commands.push_back(discard());
     }
     for (const auto &[name, value] : session.values) {
         const auto present = link.values.find(name);
-        if (clears || present == link.values.end() || present->second != value) {
+        if (needsDiscard || present == link.values.end() || present->second != value) {
             commands.push_back(setValue(name, value));
         }
     }
-    if (shape != nullptr && (clears || needsShape)) {
-        commands.push_back(prepare(*shape, clears ? 1 : link.prepared.size() + 1));
+    if (shape != nullptr && (needsDiscard || needsShape)) {
+        commands.push_back(prepare(*shape, needsDiscard ? 1 : link.prepared.size() + 1));
     }
     return commands;
 }
@@ -124,11 +124,11 @@
         co_return std::nullopt;
     }
     const auto exchange = co_await link.exchange(commands, limit);
-    for (std::size_t place = 0; place < exchange.results.size(); ++place) {
-        if (exchange.results[place].failure) {
-            co_return failureOf(commands[place], exchange.results[place]);
+    for (std::size_t index = 0; index < exchange.results.size(); ++index) {
+        if (exchange.results[index].failure) {
+            co_return failureOf(commands[index], exchange.results[index]);
         }
-        noteDone(link.state, commands[place]);
+        noteDone(link.state, commands[index]);
     }
     if (exchange.broken || exchange.results.size() < commands.size()) {
         auto why = FailureReply{Failure::Unreachable, "the connection broke before the statement was sent", {}};
--- a/unittests/Interactive/sessiontest.cpp
+++ b/unittests/Interactive/sessiontest.cpp
@@ -256,7 +256,7 @@
     const auto reply = proxy.run(proxy.open(), store("satchel", "booked"));
     REQUIRE(reply.failure);
     CHECK(reply.failure->failure == Failure::InDoubt);
-    CHECK_FALSE(promisesNothingKept(reply.failure->failure));
+    CHECK_FALSE(guaranteesNoEffect(reply.failure->failure));
     CHECK(ran == 1);
 }
 
@@ -314,7 +314,7 @@
     const auto began = std::chrono::steady_clock::now();
     const auto reply = proxy.run(session, store("a", "1"));
     REQUIRE(reply.failure);
-    CHECK(promisesNothingKept(reply.failure->failure));
+    CHECK(guaranteesNoEffect(reply.failure->failure));
     CHECK(reply.failure->retryAfter);
     CHECK(std::chrono::steady_clock::now() - began < 180ms);
     CHECK(proxy.databases.seen.empty());
@@ -489,7 +489,7 @@
     const auto began = std::chrono::steady_clock::now();
     const auto reply = proxy.run(proxy.open(), store("a", "1"));
     REQUIRE(reply.failure);
-    CHECK(promisesNothingKept(reply.failure->failure));
+    CHECK(guaranteesNoEffect(reply.failure->failure));
     CHECK(std::chrono::steady_clock::now() - began < 100ms);
 }
 
