--- a/lib/Interactive/callersession.cpp
+++ b/lib/Interactive/callersession.cpp
@@ -267,7 +267,7 @@
 
 auto CallerSession::runWrite(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
-    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
         this->core->probe(target.member);
         co_return retryElsewhere(*std::move(why));
     }
@@ -299,7 +299,7 @@
 auto CallerSession::runReplicaRead(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
     const auto &upstream = target.member.upstream.id;
-    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
         this->core->load.failed(upstream, support::now());
         co_return retryElsewhere(*std::move(why));
     }
@@ -336,7 +336,7 @@
     // begin a read-write transaction, and any statement in one. The read therefore runs in a read-write transaction, and is sent only
     // once that has begun: pipelined with the begin, it would run outside of a transaction where the begin is refused.
     const auto begin = commandOfKind(CommandKind::Begin);
-    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
         const auto notPrimary = why->failure == Failure::ReadOnly;
         if (notPrimary) {
             lease.giveBack();
--- a/lib/Interactive/callersession.h
+++ b/lib/Interactive/callersession.h
@@ -100,7 +100,7 @@
     auto discardTransaction() -> void;
     auto watchIdle() -> void;
 
-    /// \param stalePrimary member that reported that it is not the primary, although the view names it
+    /// \param stalePrimary member that was picked as the primary and reported that it is not
     auto pick(bool needsPrimary, const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
         -> boost::asio::awaitable<TargetResult>;
     /// \param tried members at which the statement did not run; a primary among them is retried only after a delay
--- a/lib/Interactive/sessioncore.cpp
+++ b/lib/Interactive/sessioncore.cpp
@@ -87,7 +87,7 @@
             this->services.emplace(service.id.value(), &service);
         }
     }
-    this->retireLinks(*former);
+    this->retireRemovedConnections(*former);
     const auto present = presentUpstreams(*this->view);
     this->load.keepOnly(present);
     for (auto *const times : {&this->lastProbed, &this->lastSuspected}) {
@@ -268,7 +268,7 @@
     }
 }
 
-auto SessionCore::exchange(const Member &member, UpstreamLink &link, std::span<const Command> commands, Duration limit) -> asio::awaitable<ExchangeResult>
+auto SessionCore::exchange(const Member &member, UpstreamLink &connection, std::span<const Command> commands, Duration limit) -> asio::awaitable<ExchangeResult>
 {
     const auto self = this->shared_from_this();
     const auto upstream = member.upstream.id;
@@ -276,7 +276,7 @@
         this->watch.sent(upstream, support::now());
         this->scheduleWatch();
     }
-    auto result = co_await link.exchange(commands, limit);
+    auto result = co_await connection.exchange(commands, limit);
     if (member.isPrimary) {
         this->watch.ended(upstream, !result.results.empty(), support::now());
     }
@@ -368,7 +368,7 @@
     return this->view->findGroup(group);
 }
 
-auto SessionCore::retireLinks(const membership::ClusterView &former) -> void
+auto SessionCore::retireRemovedConnections(const membership::ClusterView &former) -> void
 {
     for (const auto &group : former.groups) {
         const auto *const present = this->findGroup(group.id);
--- a/lib/Interactive/sessioncore.h
+++ b/lib/Interactive/sessioncore.h
@@ -65,7 +65,7 @@
     /// Waits until control has sent this proxy a view, for firstViewWaitLimit at most.
     ///
     /// Load pattern: after a power failure all callers connect at once, and proxies have no view for a few hundred milliseconds. A caller
-    /// that is refused uses up an attempt and retries later than the view arrives; one that waits here is served once it arrives.
+    /// that is refused uses up an attempt and retries only after the view has arrived; one that waits here is served as soon as it arrives.
     auto awaitFirstView() -> boost::asio::awaitable<void>;
 
     /// Waits until the group has a primary other than \p stalePrimary, which reported that it is not one, for \p waitLimit at most.
@@ -86,7 +86,7 @@
     auto probe(const Member &member, bool thorough = true) -> void;
 
     /// Runs commands on a connection to \p member. While they run, an unresponsive primary is detected and probed.
-    auto exchange(const Member &member, UpstreamLink &link, std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult>;
+    auto exchange(const Member &member, UpstreamLink &connection, std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult>;
 
     auto proofsOf(const GroupId &group) -> PositionProofs &;
 
@@ -119,7 +119,7 @@
     static auto runProbe(std::shared_ptr<SessionCore> self, Member member, bool thorough) -> boost::asio::awaitable<void>;
     auto scheduleWatch() -> void;
     [[nodiscard]] auto findMember(const UpstreamId &upstream) const -> std::optional<Member>;
-    auto retireLinks(const membership::ClusterView &former) -> void;
+    auto retireRemovedConnections(const membership::ClusterView &former) -> void;
 
     std::shared_ptr<const membership::ClusterView> view;
     std::unordered_map<std::string_view, const membership::ServiceView *> services;
--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -88,8 +88,8 @@
     });
     auto candidates = std::vector<ReadCandidate>();
     for (const auto &member : members) {
-        const auto links = this->core->parts.pool->counts(member.upstream.id);
-        candidates.push_back({member.upstream.id, member.isPrimary, member.upstream.zone == this->core->parts.zone, links.busy + links.waiting});
+        const auto connections = this->core->parts.pool->counts(member.upstream.id);
+        candidates.push_back({member.upstream.id, member.isPrimary, member.upstream.zone == this->core->parts.zone, connections.busy + connections.waiting});
     }
     const auto *const chosen = this->core->load.choose(candidates, support::now());
     if (chosen == nullptr) {
--- a/lib/Interactive/sessiontransaction.cpp
+++ b/lib/Interactive/sessiontransaction.cpp
@@ -68,7 +68,7 @@
     // At a primary even a read-only transaction begins as a read-write one, which a stale primary refuses.
     auto begin = commandOfKind(target.member.isPrimary ? CommandKind::Begin : CommandKind::BeginReadOnly);
     begin.after = target.after;
-    if (auto why = co_await prepareLink(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
         const auto notPrimary = why->failure == Failure::ReadOnly;
         if (notPrimary || why->failure == Failure::Lagging) {
             this->recordLagging(target.member, *why);
@@ -96,7 +96,7 @@
         if (auto why = co_await this->openTransaction(context)) {
             co_return this->failTransaction(*std::move(why));
         }
-    } else if (auto why = co_await prepareLink(this->transaction->lease->link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+    } else if (auto why = co_await prepareConnection(this->transaction->lease->link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
         this->core->probe(this->transaction->member);
         co_return this->failTransaction(makeFailure(Failure::Aborted, "the connection broke; the transaction was rolled back"));
     }
--- a/lib/Interactive/statementrun.cpp
+++ b/lib/Interactive/statementrun.cpp
@@ -35,9 +35,9 @@
 }
 
 /// \return whether the connection has a value that the session lacks; a single value can be changed but not removed
-auto hasForeignValue(const LinkState &link, const SessionState &session) -> bool
+auto hasForeignValue(const LinkState &connection, const SessionState &session) -> bool
 {
-    return std::any_of(link.values.begin(), link.values.end(), [&session](const auto &value) {
+    return std::any_of(connection.values.begin(), connection.values.end(), [&session](const auto &value) {
         return !session.values.contains(value.first);
     });
 }
@@ -59,37 +59,37 @@
     return failure;
 }
 
-auto stateCommands(const LinkState &link, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>
+auto stateCommands(const LinkState &connection, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>
 {
     auto commands = std::vector<Command>();
-    const auto needsShape = shape != nullptr && !link.prepared.contains(*shape);
-    const auto needsDiscard = hasForeignValue(link, session) || (needsShape && link.prepared.size() >= preparedLimit);
+    const auto needsShape = shape != nullptr && !connection.prepared.contains(*shape);
+    const auto needsDiscard = hasForeignValue(connection, session) || (needsShape && connection.prepared.size() >= preparedLimit);
     if (needsDiscard) {
         commands.push_back(discard());
     }
     for (const auto &[name, value] : session.values) {
-        const auto present = link.values.find(name);
-        if (needsDiscard || present == link.values.end() || present->second != value) {
+        const auto present = connection.values.find(name);
+        if (needsDiscard || present == connection.values.end() || present->second != value) {
             commands.push_back(setValue(name, value));
         }
     }
     if (shape != nullptr && (needsDiscard || needsShape)) {
-        commands.push_back(prepare(*shape, needsDiscard ? 1 : link.prepared.size() + 1));
+        commands.push_back(prepare(*shape, needsDiscard ? 1 : connection.prepared.size() + 1));
     }
     return commands;
 }
 
-auto noteDone(LinkState &link, const Command &command) -> void
+auto noteDone(LinkState &connection, const Command &command) -> void
 {
     switch (command.kind) {
     case CommandKind::Discard:
-        link = LinkState();
+        connection = LinkState();
         return;
     case CommandKind::SetValue:
-        link.values.insert_or_assign(command.name, command.text);
+        connection.values.insert_or_assign(command.name, command.text);
         return;
     case CommandKind::Prepare:
-        link.prepared.insert_or_assign(command.shape, command.name);
+        connection.prepared.insert_or_assign(command.shape, command.name);
         return;
     case CommandKind::Begin:
     case CommandKind::BeginReadOnly:
@@ -101,34 +101,34 @@
     }
 }
 
-auto commandOf(const Statement &statement, const LinkState &link, const PreparedShape *shape) -> Command
+auto commandOf(const Statement &statement, const LinkState &connection, const PreparedShape *shape) -> Command
 {
     auto command = Command();
     command.id = statement.id;
     command.text = statement.text;
     if (shape != nullptr) {
         command.kind = CommandKind::Execute;
-        command.name = link.prepared.at(*shape);
+        command.name = connection.prepared.at(*shape);
     }
     return command;
 }
 
-auto prepareLink(UpstreamLink &link, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
+auto prepareConnection(UpstreamLink &connection, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
     -> boost::asio::awaitable<std::optional<FailureReply>>
 {
-    auto commands = stateCommands(link.state, session, shape);
+    auto commands = stateCommands(connection.state, session, shape);
     if (last != nullptr) {
         commands.push_back(*last);
     }
     if (commands.empty()) {
         co_return std::nullopt;
     }
-    const auto exchange = co_await link.exchange(commands, limit);
+    const auto exchange = co_await connection.exchange(commands, limit);
     for (std::size_t index = 0; index < exchange.results.size(); ++index) {
         if (exchange.results[index].failure) {
             co_return failureOf(commands[index], exchange.results[index]);
         }
-        noteDone(link.state, commands[index]);
+        noteDone(connection.state, commands[index]);
     }
     if (exchange.broken || exchange.results.size() < commands.size()) {
         auto why = FailureReply{Failure::Unreachable, "the connection broke before the statement was sent", {}};
--- a/lib/Interactive/statementrun.h
+++ b/lib/Interactive/statementrun.h
@@ -25,27 +25,27 @@
 constexpr auto preparedLimit = std::size_t{256};
 
 /// \param shape shape of the next statement if it is a prepared one, else null
-/// \return the commands that bring a connection in state \p link to the state of \p session, before a statement may run on it
+/// \return the commands that bring a connection in state \p connection to the state of \p session, before a statement may run on it
 ///
 /// Values left by another caller would change the meaning of the statement, and prepared names of different callers collide. Therefore
 /// the values are made equal, and shapes are prepared under per-connection names, which all sessions share.
-[[nodiscard]] auto stateCommands(const LinkState &link, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>;
+[[nodiscard]] auto stateCommands(const LinkState &connection, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>;
 
-/// Updates \p link for a successful \p command.
-auto noteDone(LinkState &link, const Command &command) -> void;
+/// Updates \p connection for a successful \p command.
+auto noteDone(LinkState &connection, const Command &command) -> void;
 
 /// \param shape shape of \p statement if it is a prepared one, else null
-/// \return the command that runs \p statement on a connection in state \p link
-[[nodiscard]] auto commandOf(const Statement &statement, const LinkState &link, const PreparedShape *shape) -> Command;
+/// \return the command that runs \p statement on a connection in state \p connection
+[[nodiscard]] auto commandOf(const Statement &statement, const LinkState &connection, const PreparedShape *shape) -> Command;
 
 /// \return the failure of \p command, for Failure::Lagging with the required and the applied position; nothing if it succeeded
 [[nodiscard]] auto failureOf(const Command &command, const CommandResult &result) -> std::optional<FailureReply>;
 
-/// Sends the commands that bring \p link to the state of \p session, followed by \p last unless it is null.
+/// Sends the commands that bring \p connection to the state of \p session, followed by \p last unless it is null.
 /// \return the failure of the first command that failed; nothing if all succeeded
 ///
 /// No statement of the caller is among the commands, so none can have run after a failure.
-auto prepareLink(UpstreamLink &link, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
+auto prepareConnection(UpstreamLink &connection, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
     -> boost::asio::awaitable<std::optional<FailureReply>>;
 
 } // namespace sapphirespool::interactive
