--- a/lib/Interactive/sessioncore.cpp
+++ b/lib/Interactive/sessioncore.cpp
@@ -169,7 +169,7 @@
     const auto until = began + waitLimit;
     // A committed view arrives within some milliseconds. If it takes longer it may never arrive: this proxy may be partitioned off.
     auto searchAt = this->hasControlContact() ? began + PrimarySearch::viewPatience : began;
-    auto mayComeYet = true;
+    auto mayStillAppear = true;
     while (true) {
         auto primary = this->primaryOf(group);
         const auto isOther = primary && (!stalePrimary || stalePrimary->term != primary->term || stalePrimary->upstream.id != primary->upstream.id);
@@ -177,13 +177,13 @@
             co_return primary;
         }
         const auto now = std::chrono::steady_clock::now();
-        if (now >= until || !mayComeYet) {
+        if (now >= until || !mayStillAppear) {
             co_return std::nullopt;
         }
         if (now >= searchAt) {
             co_await searchPrimary(self, group, stalePrimaryId);
             // Without control no view can name a primary here, while another proxy may be able to serve the statement.
-            mayComeYet = this->hasControlContact();
+            mayStillAppear = this->hasControlContact();
             searchAt = std::chrono::steady_clock::now() + PrimarySearch::viewPatience;
             continue;
         }
--- a/unittests/Interactive/sessiontest.cpp
+++ b/unittests/Interactive/sessiontest.cpp
@@ -514,7 +514,7 @@
 
 TEST_CASE("a caller that connects before the first view waits for it")
 {
-    // Failure: all VMs restart after a power failure, and a proxy refuses a caller that it could have served a moment later.
+    // Failure: all VMs restart at once after a power failure, and a proxy refuses a caller that it could have served a moment later.
     auto proxy = Proxy(Consistency::Strong);
     const auto former = std::exchange(proxy.views, std::make_shared<membership::ViewHolder>());
     auto parts = SessionServiceParts();
