--- a/lib/Interactive/callersession.h
+++ b/lib/Interactive/callersession.h
@@ -15,19 +15,19 @@
 namespace sapphirespool::interactive
 {
 
-/// A caller's transaction.
+/// An open transaction of a caller.
 struct Transaction
 {
     membership::ServiceView service;
     bool readOnly = false;
-    /// Whether a write was sent in it.
+    /// Whether a write was sent in this transaction.
     bool wrote = false;
-    /// The upstream's connection, from the first statement on.
+    /// The upstream connection, held from the first statement to the end.
     std::optional<LinkLease> lease;
     Member member;
 };
 
-/// Decides where each statement of one caller runs, and what its outcome lets the caller be told.
+/// Runs the statements of one caller: picks the upstream for each, retries it where that is safe, and maps the outcome to a reply.
 class CallerSession : public Session, public std::enable_shared_from_this<CallerSession>
 {
 public:
@@ -39,42 +39,42 @@
     [[nodiscard]] auto status() const -> TransactionStatus override;
 
 private:
-    /// A statement with what its runs need to know.
-    struct Work
+    /// A statement with the data that each attempt to run it needs.
+    struct StatementContext
     {
         Statement statement;
         membership::ServiceView service;
-        /// Shape of a prepared statement.
+        /// Shape of the prepared statement; empty for other statements.
         std::optional<PreparedShape> shape;
         Access access = Access::Read;
-        /// When the route's time for the statement ends.
+        /// Deadline given by the timeout of the route.
         std::chrono::steady_clock::time_point deadline;
 
-        [[nodiscard]] auto left() const -> Duration;
+        [[nodiscard]] auto remaining() const -> Duration;
         [[nodiscard]] auto shapePointer() const -> const PreparedShape *;
     };
 
-    /// Where a statement is to run.
+    /// The member at which a statement is to run.
     struct Target
     {
         Member member;
-        /// Position that a replica must hold.
+        /// Log position that a replica must have applied.
         std::optional<DataPosition> after;
     };
 
-    /// The statement has not run there; it may be tried elsewhere.
-    struct TryElsewhere
+    /// The statement did not run at the member; it may be retried at another one.
+    struct RetryElsewhere
     {
         FailureReply why;
-        /// Whether the member said that it is not the primary.
-        bool refuted = false;
+        /// Whether the member reported that it is not the primary.
+        bool notPrimary = false;
     };
 
     using TargetResult = std::variant<Target, FailureReply>;
-    using RunResult = std::variant<Reply, TryElsewhere>;
+    using RunResult = std::variant<Reply, RetryElsewhere>;
 
-    [[nodiscard]] static auto elsewhere(FailureReply why, bool refuted = false) -> TryElsewhere;
-    [[nodiscard]] static auto targetAt(Member member, std::optional<DataPosition> after) -> Target;
+    [[nodiscard]] static auto retryElsewhere(FailureReply why, bool notPrimary = false) -> RetryElsewhere;
+    [[nodiscard]] static auto makeTarget(Member member, std::optional<DataPosition> after) -> Target;
 
     auto dispatch(Statement statement) -> boost::asio::awaitable<Reply>;
     auto setValue(const Statement &statement) -> Reply;
@@ -85,54 +85,56 @@
     auto commit(Statement statement) -> boost::asio::awaitable<Reply>;
     auto run(Statement statement) -> boost::asio::awaitable<Reply>;
 
-    auto runSingle(const Work &work) -> boost::asio::awaitable<Reply>;
-    auto runAt(const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-    auto runWrite(LinkLease lease, const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-    auto runReplicaRead(LinkLease lease, const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-    auto runPrimaryRead(LinkLease lease, const Target &target, const Work &work) -> boost::asio::awaitable<RunResult>;
-
-    auto openTransaction(const Work &work) -> boost::asio::awaitable<std::optional<FailureReply>>;
-    auto openAt(const Target &target, const Work &work) -> boost::asio::awaitable<std::optional<TryElsewhere>>;
-    auto runInTransaction(const Work &work) -> boost::asio::awaitable<Reply>;
-    auto exchangeInTransaction(const Work &work, const Command &command) -> boost::asio::awaitable<ExchangeResult>;
-    auto runCommit(const Work &work) -> boost::asio::awaitable<Reply>;
+    auto runSingle(const StatementContext &context) -> boost::asio::awaitable<Reply>;
+    auto runAt(const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runWrite(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runReplicaRead(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runPrimaryRead(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+
+    auto openTransaction(const StatementContext &context) -> boost::asio::awaitable<std::optional<FailureReply>>;
+    auto openAt(const Target &target, const StatementContext &context) -> boost::asio::awaitable<std::optional<RetryElsewhere>>;
+    auto runInTransaction(const StatementContext &context) -> boost::asio::awaitable<Reply>;
+    auto exchangeInTransaction(const StatementContext &context, const Command &command) -> boost::asio::awaitable<ExchangeResult>;
+    auto runCommit(const StatementContext &context) -> boost::asio::awaitable<Reply>;
     auto failTransaction(FailureReply why) -> Reply;
-    auto abandon() -> void;
+    auto discardTransaction() -> void;
     auto watchIdle() -> void;
 
-    /// \param refuted member that turned out not to be the primary
-    auto pick(bool needsPrimary, const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted)
+    /// \param stalePrimary member that was picked as the primary and reported that it is not
+    auto pick(bool needsPrimary, const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
+        -> boost::asio::awaitable<TargetResult>;
+    /// \param tried members at which the statement did not run; a primary among them is retried only after a delay
+    auto pickPrimary(const StatementContext &context, const std::set<UpstreamId> &tried, const std::optional<Member> &stalePrimary)
+        -> boost::asio::awaitable<TargetResult>;
+    auto pickReader(const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
         -> boost::asio::awaitable<TargetResult>;
-    /// \param tried members at which the statement did not run; the primary is not tried again at once
-    auto pickPrimary(const Work &work, const std::set<UpstreamId> &tried, const std::optional<Member> &refuted) -> boost::asio::awaitable<TargetResult>;
-    auto pickReader(const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted) -> boost::asio::awaitable<TargetResult>;
     [[nodiscard]] auto neededPosition(const membership::ServiceView &service) const -> std::optional<DataPosition>;
-    auto acquire(const Target &target, const Work &work) -> boost::asio::awaitable<LeaseResult>;
-
-    auto workOf(Statement statement, membership::ServiceView service) const -> Work;
-    auto noteWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void;
-    auto noteProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void;
-    /// Notes that the statement has not run where it was tried last.
-    auto noteMoved(const FailureReply &why) -> void;
-    /// Notes that \p member lacked what a read had to see, by the word of \p why.
-    auto noteLagging(const Member &member, const FailureReply &why) -> void;
-    auto noteServed(const ServiceId &service, Access access, const Member &member, Duration latency) -> void;
-    auto failed(FailureReply why) -> Reply;
+    auto acquire(const Target &target, const StatementContext &context) -> boost::asio::awaitable<LeaseResult>;
+
+    auto makeContext(Statement statement, membership::ServiceView service) const -> StatementContext;
+    auto recordWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void;
+    auto recordProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void;
+    /// Logs and counts that the statement did not run at the last member and is retried.
+    auto recordRetry(const FailureReply &why) -> void;
+    /// Records that \p member lags behind the position that a read requires, as reported in \p why.
+    auto recordLagging(const Member &member, const FailureReply &why) -> void;
+    auto recordServed(const ServiceId &service, Access access, const Member &member, Duration latency) -> void;
+    auto fail(FailureReply why) -> Reply;
 
     std::shared_ptr<SessionCore> core;
     std::string database;
     SessionState state;
     TransactionStatus transactionStatus = TransactionStatus::None;
     std::unique_ptr<Transaction> transaction;
-    /// Fires when the caller has said nothing in a transaction for too long.
+    /// Expires when a caller stays idle in a transaction for too long.
     std::unique_ptr<boost::asio::steady_timer> idleTimer;
     bool executing = false;
-    /// The statement under way, for the log: the caller's name for it, when it came, and where it was tried last.
+    /// The running statement, for the log: the caller's identifier, its start time and the upstream of its last attempt.
     std::string currentId;
     std::chrono::steady_clock::time_point currentSince;
     std::string currentUpstream;
     bool ended = false;
-    /// End of the group's log after the session's last write.
+    /// End of the log of group lastWriteGroup after the session's last write.
     std::optional<DataPosition> lastWrite;
     GroupId lastWriteGroup;
 };
--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -1,4 +1,4 @@
-// Where a statement of a caller's session runs.
+// Placement: picks the group member at which a statement runs and acquires a connection to it.
 #include "callersession.h"
 #include "runvalues.h"
 
@@ -16,19 +16,20 @@
 
 namespace asio = boost::asio;
 
-/// Part of the objective that a read waits for a replica before it is tried at another member: three quarters are left for that.
-constexpr auto replicaPart = 4;
+/// A read waits for a replica for at most the objective divided by this; three quarters are left for another member.
+constexpr auto replicaWaitDivisor = 4;
 
-/// Part of the route's time that a statement waits for the primary, or for there to be one; the other half is for running it. No other
-/// proxy can serve it sooner, and who is sent away only comes back to the same queue, with an attempt less.
-constexpr auto primaryPart = 2;
+/// A statement waits for the primary, or for one to be promoted, for at most the route's timeout divided by this; the other half is left
+/// to run it. No other proxy can serve it sooner, and a caller that is refused only retries into the same queue, with one attempt fewer.
+constexpr auto primaryWaitDivisor = 2;
 
-/// Pause before a primary that did not take the statement is tried again, unless a view comes first. The attempts at one statement would else be
-/// over within a millisecond, while control needs some hundred to find that a primary is gone, and a full queue some ten to shrink.
-constexpr auto primaryRetryPause = std::chrono::milliseconds(100);
+/// Delay before a statement is retried at a primary that did not run it, unless a new view arrives first. Without it all attempts would
+/// be used up within a millisecond, while control needs some hundred milliseconds to detect a lost primary, and a full queue some ten
+/// milliseconds to shrink.
+constexpr auto primaryRetryDelay = std::chrono::milliseconds(100);
 
-/// Opening a link takes two ways and the upstream's own handshake, some tens of milliseconds, on a busy upstream some more. One that was not
-/// opened in this time is tried at another proxy or member; a packet that was lost would take a second.
+/// Opening a connection takes two round trips and the upstream's own handshake: some tens of milliseconds, on a busy upstream some more.
+/// If it is not open in this time, another proxy or member is tried; waiting for the retransmission of a lost packet would take a second.
 constexpr auto connectLimit = std::chrono::milliseconds(400);
 
 auto acceptsAge(const membership::ServiceView &service) -> bool
@@ -41,60 +42,63 @@
     return service.objective.count() > 0 ? std::min(service.objective, service.timeout) : service.timeout;
 }
 
-auto queuePatience(const membership::ServiceView &service, bool atPrimary) -> Duration
+auto queueWaitLimit(const membership::ServiceView &service, bool atPrimary) -> Duration
 {
-    return atPrimary ? service.timeout / primaryPart : objectiveOf(service) / replicaPart;
+    return atPrimary ? service.timeout / primaryWaitDivisor : objectiveOf(service) / replicaWaitDivisor;
 }
 
 } // namespace
 
-auto CallerSession::pick(bool needsPrimary, const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted)
+auto CallerSession::pick(bool needsPrimary, const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
     -> asio::awaitable<TargetResult>
 {
-    return needsPrimary ? this->pickPrimary(work, excluded, refuted) : this->pickReader(work, excluded, refuted);
+    return needsPrimary ? this->pickPrimary(context, excluded, stalePrimary) : this->pickReader(context, excluded, stalePrimary);
 }
 
-auto CallerSession::pickPrimary(const Work &work, const std::set<UpstreamId> &tried, const std::optional<Member> &refuted) -> asio::awaitable<TargetResult>
+auto CallerSession::pickPrimary(const StatementContext &context, const std::set<UpstreamId> &tried, const std::optional<Member> &stalePrimary)
+    -> asio::awaitable<TargetResult>
 {
-    if (const auto known = this->core->primaryOf(work.service.group); known && tried.contains(known->upstream.id) && !refuted) {
-        co_await this->core->awaitViewChange(std::min<Duration>(primaryRetryPause, work.left()));
+    if (const auto known = this->core->primaryOf(context.service.group); known && tried.contains(known->upstream.id) && !stalePrimary) {
+        co_await this->core->awaitViewChange(std::min<Duration>(primaryRetryDelay, context.remaining()));
     }
-    auto primary = co_await this->core->awaitPrimary(work.service.group, refuted, std::min<Duration>(work.left(), work.service.timeout / primaryPart));
+    auto primary = co_await this->core->awaitPrimary(
+        context.service.group, stalePrimary, std::min<Duration>(context.remaining(), context.service.timeout / primaryWaitDivisor));
     if (!primary) {
-        co_return makeFailure(Failure::Busy, "group " + work.service.group.value() + " has no primary", promotionRetry);
+        co_return makeFailure(Failure::Busy, "group " + context.service.group.value() + " has no primary", promotionRetryAfter);
     }
-    co_return targetAt(*std::move(primary), std::nullopt);
+    co_return makeTarget(*std::move(primary), std::nullopt);
 }
 
-auto CallerSession::pickReader(const Work &work, const std::set<UpstreamId> &excluded, const std::optional<Member> &refuted) -> asio::awaitable<TargetResult>
+auto CallerSession::pickReader(const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
+    -> asio::awaitable<TargetResult>
 {
-    auto needed = this->neededPosition(work.service);
+    auto needed = this->neededPosition(context.service);
     if (needed) {
-        this->core->refreshAgeingProof(work.service.group, work.service.readAge);
-    } else if (acceptsAge(work.service)) {
-        co_await this->core->refreshProof(work.service.group, work.service.readAge);
-        needed = this->neededPosition(work.service);
+        this->core->refreshAgeingProof(context.service.group, context.service.readAge);
+    } else if (acceptsAge(context.service)) {
+        co_await this->core->refreshProof(context.service.group, context.service.readAge);
+        needed = this->neededPosition(context.service);
     }
     if (!needed) {
-        co_return co_await this->pickPrimary(work, excluded, refuted);
+        co_return co_await this->pickPrimary(context, excluded, stalePrimary);
     }
-    auto members = this->core->readersOf(work.service.group);
+    auto members = this->core->readersOf(context.service.group);
     std::erase_if(members, [&excluded](const Member &member) {
         return excluded.contains(member.upstream.id);
     });
     auto candidates = std::vector<ReadCandidate>();
     for (const auto &member : members) {
-        const auto links = this->core->parts.pool->counts(member.upstream.id);
-        candidates.push_back({member.upstream.id, member.isPrimary, member.upstream.zone == this->core->parts.zone, links.busy + links.waiting});
+        const auto connections = this->core->parts.pool->counts(member.upstream.id);
+        candidates.push_back({member.upstream.id, member.isPrimary, member.upstream.zone == this->core->parts.zone, connections.busy + connections.waiting});
     }
     const auto *const chosen = this->core->load.choose(candidates, support::now());
     if (chosen == nullptr) {
-        co_return co_await this->pickPrimary(work, excluded, refuted);
+        co_return co_await this->pickPrimary(context, excluded, stalePrimary);
     }
     const auto member = std::find_if(members.begin(), members.end(), [chosen](const Member &candidate) {
         return candidate.upstream.id == chosen->upstream;
     });
-    co_return targetAt(*member, member->isPrimary ? std::nullopt : needed);
+    co_return makeTarget(*member, member->isPrimary ? std::nullopt : needed);
 }
 
 auto CallerSession::neededPosition(const membership::ServiceView &service) const -> std::optional<DataPosition>
@@ -110,21 +114,22 @@
     return needed;
 }
 
-auto CallerSession::acquire(const Target &target, const Work &work) -> asio::awaitable<LeaseResult>
+auto CallerSession::acquire(const Target &target, const StatementContext &context) -> asio::awaitable<LeaseResult>
 {
     auto claim = LinkClaim();
     claim.values = this->state.values;
-    claim.patience = std::min<Duration>(queuePatience(work.service, target.member.isPrimary), work.left());
-    claim.connectLimit = std::min<Duration>(connectLimit, work.left());
-    claim.objective = objectiveOf(work.service);
-    claim.priority = work.service.priority;
+    claim.patience = std::min<Duration>(queueWaitLimit(context.service, target.member.isPrimary), context.remaining());
+    claim.connectLimit = std::min<Duration>(connectLimit, context.remaining());
+    claim.objective = objectiveOf(context.service);
+    claim.priority = context.service.priority;
     auto result = co_await this->core->parts.pool->acquire(target.member.group, target.member.upstream, std::move(claim));
     if (const auto *const why = std::get_if<FailureReply>(&result); why != nullptr && why->failure != Failure::Busy) {
         this->core->load.failed(target.member.upstream.id, support::now());
     }
     if (const auto *const why = std::get_if<FailureReply>(&result); why != nullptr && why->failure == Failure::Unreachable) {
-        // The word of an owner, or of a moment ago: control counts what proxies of several zones see themselves.
-        this->core->look(target.member, false);
+        // This result may come from another proxy that owns the connections, or from a recent attempt. Control counts what the proxies
+        // of several availability zones observe themselves, so this proxy probes the member before it reports a suspicion.
+        this->core->probe(target.member, false);
     }
     co_return result;
 }
--- a/lib/Interactive/sessionservice.cpp
+++ b/lib/Interactive/sessionservice.cpp
@@ -12,13 +12,13 @@
 namespace
 {
 
-/// When a caller comes back that no proxy could serve yet: control gives a started proxy its view within some hundred milliseconds.
-constexpr auto noViewRetry = std::chrono::milliseconds(500);
+/// Retry delay for a caller that connects before the first view: control sends a started proxy its view within a few hundred milliseconds.
+constexpr auto noViewRetryAfter = std::chrono::milliseconds(500);
 
-class PlainSessionService : public SessionService
+class DefaultSessionService : public SessionService
 {
 public:
-    explicit PlainSessionService(SessionServiceParts parts)
+    explicit DefaultSessionService(SessionServiceParts parts)
         : core(std::make_shared<SessionCore>(std::move(parts)))
     {
     }
@@ -28,9 +28,9 @@
         if (this->core->findService(database) != nullptr) {
             return std::make_shared<CallerSession>(this->core, std::string(database));
         }
-        // A proxy without a current view cannot tell a name that is new from one that does not exist.
+        // Without a current view the proxy cannot distinguish a newly added name from one that does not exist.
         if (!this->core->hasCurrentView()) {
-            return FailureReply{Failure::Busy, "the proxy has no current view of the configuration", noViewRetry};
+            return FailureReply{Failure::Busy, "the proxy has no current view of the configuration", noViewRetryAfter};
         }
         return FailureReply{Failure::UnknownDatabase, "no service is called " + std::string(database), {}};
     }
@@ -68,7 +68,7 @@
 
 auto makeSessionService(SessionServiceParts parts) -> std::shared_ptr<SessionService>
 {
-    return std::make_shared<PlainSessionService>(std::move(parts));
+    return std::make_shared<DefaultSessionService>(std::move(parts));
 }
 
 } // namespace sapphirespool::interactive
