--- a/include/sapphirespool/Forwarding/forwardingpool.h
+++ b/include/sapphirespool/Forwarding/forwardingpool.h
@@ -1,4 +1,4 @@
-// forwardingpool.h: links to upstreams, this proxy's own and those of other proxies.
+// forwardingpool.h: pool of connections to upstreams, opened by this proxy or forwarded through other proxies.
 #pragma once
 
 #include "sapphirespool/Forwarding/ownership.h"
@@ -12,22 +12,24 @@
 namespace sapphirespool::forwarding
 {
 
-/// A pool that takes a link from an owner where this proxy is none. All calls come on its executor.
+/// Leases connections to upstreams. Where this proxy is not an owner of an upstream (see Ownership), it leases a connection from one of
+/// the owners and forwards the statements to it. All calls must come on the executor of the pool.
 class ForwardingPool : public interactive::LinkPool
 {
 public:
-    /// Accepts other proxies at \p endpoint, which use this proxy's own links.
-    /// \throws boost::system::system_error if the endpoint cannot be had
+    /// Accepts connections from other proxies at \p endpoint and serves them from this proxy's own connections.
+    /// \return the endpoint with the port that was bound
+    /// \throws boost::system::system_error if the endpoint cannot be bound
     virtual auto listen(const Endpoint &endpoint) -> Endpoint = 0;
 
-    /// Follows \p view: who owns which upstream, and how many links that allows.
+    /// Applies \p view, which determines the owners of each upstream and how many connections this proxy may open to it.
     virtual auto viewChanged(std::shared_ptr<const membership::ClusterView> view) -> void = 0;
 
     /// Closes the connections to and from other proxies.
     virtual auto close() -> void = 0;
 };
 
-/// \param own pool of this proxy's own links; the new one sees to their limits
+/// \param own pool of this proxy's own connections; the new pool sets its limits
 [[nodiscard]] auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<interactive::LinkPool> own, const boost::asio::any_io_executor &executor)
     -> std::shared_ptr<ForwardingPool>;
 
--- a/include/sapphirespool/Forwarding/ownership.h
+++ b/include/sapphirespool/Forwarding/ownership.h
@@ -1,4 +1,4 @@
-// ownership.h: decides which proxies hold the connections to an upstream.
+// ownership.h: decides which proxies open the connections to an upstream.
 #pragma once
 
 #include "sapphirespool/Interactive/linkpool.h"
@@ -13,41 +13,41 @@
 namespace sapphirespool::forwarding
 {
 
-/// Gives the connections of an upstream to a few proxies, its owners; the others send them their statements.
+/// Assigns the connections of an upstream to a few proxies, its owners; the other proxies forward their statements to the owners.
 ///
-/// Load pattern: a fleet with more proxies than an upstream takes connections, or few more connections than proxies. In equal parts each
-/// proxy has one or none; one that has many callers refuses while the connections of its peers idle, and each transaction that rests
-/// blocks a whole proxy. A few owners share the connections among all callers, keep the limit exactly, and cost the others one way to
-/// a proxy and back. An owner that control no longer hears gives its place to the next one, as long as there are enough: where all owners
-/// of an upstream are cut off, nobody else would serve what it holds.
+/// Load pattern: a fleet has more proxies than an upstream accepts connections, or only a few more connections than proxies. Split
+/// equally, each proxy gets one connection or none: a proxy with many callers refuses some while the connections of its peers are idle,
+/// and a single transaction that is idle blocks a whole proxy. A few owners share the connections among all callers, keep the connection
+/// limit exactly, and cost the other proxies one round trip between proxies. An owner that the control group no longer hears from is
+/// replaced by the next candidate as long as enough candidates are left. Otherwise an upstream whose owners are all cut off would be
+/// served by nobody.
 class Ownership
 {
 public:
-    /// Owners of an upstream. Two are left when one is lost, and both of its neighbours in a rolling restart; each has a third of the
-    /// connections, which still is a pool worth sharing.
+    /// Owners per upstream. Two are left when one is lost, or restarts in a rolling restart; each has a third of the connections, which
+    /// is still enough for a shared pool.
     static constexpr auto ownersPerUpstream = std::size_t{3};
-    /// Equal parts of at least this many connections are not gathered at owners: a proxy with so many seldom has all of them taken while
-    /// its peers have some free, and saves the way to them.
+    /// If an equal split gives each proxy at least this many connections, all proxies open their own: a proxy with that many rarely has
+    /// all of them busy while its peers have idle ones, and it saves the round trip to an owner.
     static constexpr auto enoughForEach = std::size_t{3};
-    /// Connections that are left for the control group, which asks members for their state while it promotes.
+    /// Connections left for the control group, which queries the members' state during a promotion.
     static constexpr auto reserved = std::uint32_t{2};
 
-    /// Statements under way for each slot, all holders together. A statement holds its place for its ways between proxies too, which with
-    /// short statements last as long as their work: with one for each slot the slots would idle half of the time.
+    /// Statements in flight per slot, summed over all holders. A forwarded statement counts during its round trip between proxies too,
+    /// which for short statements takes as long as their execution: with one statement per slot the slots would idle half of the time.
     static constexpr auto statementsPerSlot = std::size_t{2};
-    /// Statements that one holder has under way at least, so that two callers who come at once need not wait for each other while slots idle.
+    /// Lower bound for the statements in flight per holder, so that two concurrent callers need not wait for each other while slots are idle.
     static constexpr auto leastStatements = std::size_t{2};
 
     Ownership(VmId self, ZoneId zone);
 
-    /// Follows a view.
+    /// Recomputes the candidates for ownership from \p view.
     auto viewChanged(const membership::ClusterView &view) -> void;
 
-    /// \return the owners of \p upstream, in the order in which this proxy had better ask them; empty if each proxy holds its own
-    ///         connections
+    /// \return the owners of \p upstream in this proxy's order of preference; empty if each proxy opens its own connections
     [[nodiscard]] auto ownersOf(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> std::vector<VmId>;
 
-    /// \return what this proxy may use of \p upstream
+    /// \return the limits on this proxy's own connections to \p upstream; all zero if it is not an owner
     [[nodiscard]] auto share(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> interactive::LinkLimits;
 
 private:
@@ -55,9 +55,10 @@
 
     VmId self;
     ZoneId zone;
-    /// Number of proxies that take callers and do not leave.
+    /// Number of proxies that accept callers and are not leaving.
     std::size_t proxies = 0;
-    /// Those of them that may own connections, all and by their zones. Kept with the view: each statement asks for owners.
+    /// The proxies among them that may own connections: all of them, and grouped by availability zone. Computed once per view, since each
+    /// statement looks up owners.
     std::vector<sessions::Holder> holders;
     std::map<ZoneId, std::vector<sessions::Holder>> holdersByZone;
 };
--- a/lib/Forwarding/codec.cpp
+++ b/lib/Forwarding/codec.cpp
@@ -38,7 +38,7 @@
     return {from.begin(), from.size()};
 }
 
-/// \return the value numbered \p number, or \p highest if it is above that
+/// \return the enum value of \p number, or \p highest if \p number is above it
 template <typename Enum>
 auto enumOf(std::uint8_t number, Enum highest) -> Enum
 {
@@ -174,7 +174,7 @@
 auto read(schema::CommandResult::Reader from) -> CommandResult
 {
     auto result = CommandResult();
-    // Not bounded by their number: an answer may have many, and each takes bytes of the message.
+    // Unlike other lists the number of rows is not bounded: an answer may have many, and each one takes up bytes of the message.
     for (const auto row : from.getRows()) {
         result.rows.push_back(text(row));
     }
--- a/lib/Forwarding/codec.h
+++ b/lib/Forwarding/codec.h
@@ -14,7 +14,7 @@
 namespace sapphirespool::forwarding
 {
 
-/// Asks for a link.
+/// Requests a lease of a connection to an upstream.
 struct Acquire
 {
     GroupId group;
@@ -22,7 +22,7 @@
     interactive::SessionValues values;
     std::chrono::milliseconds patience{0};
     std::chrono::milliseconds connectLimit{0};
-    /// Time until the caller wants the answer.
+    /// Time within which the caller wants the answer.
     std::chrono::milliseconds objective{0};
     std::uint32_t priority = 0;
 };
@@ -30,15 +30,15 @@
 struct Acquired
 {
     interactive::LinkState state;
-    /// Statements that the owner has at the upstream, or that wait for it.
+    /// Statements that the owner is running at the upstream, and those that wait for a connection to it.
     std::uint32_t load = 0;
 };
 
-/// No link; nothing was run.
+/// No lease was granted; nothing was run.
 struct Refused
 {
     interactive::FailureReply why;
-    /// Whether the proxy is no owner by its own view; another one may be.
+    /// Whether the proxy is not an owner according to its own view; another proxy may be.
     bool notOwner = false;
 };
 
@@ -59,26 +59,26 @@
     interactive::LinkState state;
 };
 
-/// Asks for a proof of how far the group's log has come.
+/// Requests a proof of the current end of the group's log.
 struct Prove
 {
     GroupId group;
     UpstreamId upstream;
-    /// Age of a proof that will do.
+    /// Maximum age of an acceptable proof.
     std::chrono::milliseconds oldest{0};
     std::chrono::milliseconds limit{0};
 };
 
 struct Proved
 {
-    /// Nothing: the upstream gave no proof.
+    /// Empty if the upstream gave no proof.
     std::optional<interactive::DataPosition> position;
-    /// How long before the answer the upstream was asked, by the clock of the proxy that answers. Clocks of two proxies cannot be
-    /// compared, lengths of time can.
+    /// Time between the request to the upstream and this answer, by the clock of the proxy that answers. The clocks of two proxies cannot
+    /// be compared, durations can.
     std::chrono::milliseconds age{0};
 };
 
-/// Asks whether the receiver is there.
+/// Checks that the receiver is responsive.
 struct Ping
 {
 };
@@ -91,14 +91,14 @@
 
 struct Message
 {
-    /// Number of the lease, drawn by the proxy that asks.
+    /// Number of the lease, or of the request for Prove and Ping; assigned by the requesting proxy.
     std::uint64_t lease = 0;
     Body body;
 };
 
 [[nodiscard]] auto encode(const Message &message) -> std::string;
 
-/// \return the message, or nothing if the bytes are none
+/// \return the message, or nothing if \p bytes are not a valid message
 [[nodiscard]] auto decode(std::string_view bytes) -> std::optional<Message>;
 
 } // namespace sapphirespool::forwarding
--- a/lib/Forwarding/forwardingpool.cpp
+++ b/lib/Forwarding/forwardingpool.cpp
@@ -29,7 +29,7 @@
 using asio::ip::tcp;
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
-/// Pause after a failed accept, which mostly means that the descriptors are used up.
+/// Backoff after a failed accept, which usually means that the process is out of file descriptors.
 constexpr auto acceptPause = std::chrono::milliseconds(100);
 
 using interactive::FailureReply;
@@ -37,7 +37,7 @@
 using interactive::LinkCounts;
 using interactive::LinkPool;
 
-/// What this proxy uses of one upstream through others, and what they last said of their load there.
+/// Connections to one upstream that this proxy leases from other proxies, and the load that those last reported for the upstream.
 struct RemoteUse
 {
     std::size_t busy = 0;
@@ -176,7 +176,7 @@
 
     auto setLimits(const UpstreamId &, const interactive::LinkLimits &) -> void override
     {
-        // Limits follow from the view.
+        // The limits are derived from the view.
     }
 
     auto retire(const UpstreamId &upstream) -> void override
@@ -202,7 +202,7 @@
     }
 
 private:
-    /// Load that is noted of an owner that had no link free.
+    /// Load recorded for an owner that refused a lease.
     static constexpr auto fullLoad = std::uint32_t{1'000};
 
     struct Channel
@@ -212,14 +212,14 @@
         std::shared_ptr<OwnerChannel> channel;
     };
 
-    /// \return whether what one owner met says nothing of the others: it cannot reach the upstream, or its part of the connections is not
-    ///         free yet. What waits at a full upstream waits at each owner.
+    /// \return whether the failure concerns a single owner, so that others may still serve: it cannot reach the upstream, or its share of the
+    ///         connections is not free yet. At a saturated upstream a statement would wait at each owner alike.
     static auto mayOtherOwnersServe(interactive::Failure failure) -> bool
     {
         return failure == interactive::Failure::Unreachable || failure == interactive::Failure::ConnectionLimit;
     }
 
-    /// \return a lease from \p owner, or its refusal; nothing if it does not answer or is no owner by its own view
+    /// \return a lease from \p owner, or its refusal; nothing if it does not answer or is not an owner according to its own view
     auto acquireFrom(VmId owner, GroupId group, membership::UpstreamView upstream, interactive::LinkClaim claim, Acquire request)
         -> asio::awaitable<std::optional<LeaseResult>>
     {
@@ -247,8 +247,8 @@
         co_return std::get<FailureReply>(std::move(result.link));
     }
 
-    /// Follows what the view says of an owner.
-    /// \return whether its channel can still be used
+    /// Applies the view's entry of an owner to its channel. Closes the channel if the owner is gone or has another endpoint.
+    /// \return whether the channel can still be used
     static auto staysWith(const membership::ProxyView *proxy, Channel &channel) -> bool
     {
         if (proxy == nullptr || proxy->peers != channel.endpoint) {
@@ -261,7 +261,7 @@
         return true;
     }
 
-    /// Keeps nothing of the members that were in \p former and are not in the view.
+    /// Sets the limits of members that are in \p former and not in the current view to zero.
     auto forgetGone(const membership::ClusterView *former) -> void
     {
         if (former == nullptr) {
@@ -303,7 +303,7 @@
         });
     }
 
-    /// \return the upstream, if this proxy may have links to it
+    /// \return the upstream, if this proxy may open connections to it
     [[nodiscard]] auto findOwned(const GroupId &group, const UpstreamId &upstream) const -> std::optional<membership::UpstreamView>
     {
         const auto *const known = this->view == nullptr ? nullptr : this->view->findGroup(group);
@@ -314,14 +314,14 @@
         return *member;
     }
 
-    /// \return the owners that do not rest first, then the ones with less load; else in the order of \p owners
+    /// \return the owners sorted by reachability, then by load; equal ones stay in the order of \p owners
     auto orderOf(const std::vector<VmId> &owners, const UpstreamId &upstream) -> std::vector<VmId>
     {
         auto &loads = this->uses[upstream].loads;
         const auto rank = [this, &loads](const VmId &owner) {
             const auto channel = owner == this->self ? nullptr : this->channelTo(owner);
             const auto rests = channel != nullptr && !channel->isWorthAsking();
-            // What an owner last said fades: a load that is halved with each look is forgotten after some statements.
+            // The reported load decays: it is halved each time it is read, so that a stale one loses its effect after a few statements.
             auto &load = loads[owner];
             const auto present = load;
             load /= 2;
--- a/lib/Forwarding/framedconnection.h
+++ b/lib/Forwarding/framedconnection.h
@@ -1,4 +1,4 @@
-// framedconnection.h: a connection between two proxies that carries whole messages both ways.
+// framedconnection.h: bidirectional connection between two proxies that carries length-prefixed messages.
 #pragma once
 
 #include "codec.h"
@@ -12,24 +12,24 @@
 namespace sapphirespool::forwarding
 {
 
-/// Each message goes out behind its length. Sends never wait: what the peer has not taken yet is kept, up to a limit beyond which the
-/// peer counts as stuck and the connection is closed.
+/// Sends and receives messages, each prefixed with its length. Sends never block: data that the peer has not accepted yet is buffered, up
+/// to a limit above which the peer is considered stuck and the connection is closed.
 class FramedConnection : public std::enable_shared_from_this<FramedConnection>
 {
 public:
-    /// Longest message: a statement and its rows have at most 1 MiB each on the wire of callers.
+    /// Maximum size of a message: the protocol of callers limits a statement and its rows to 1 MiB each.
     static constexpr auto longestMessage = std::size_t{4 * 1024 * 1024};
-    /// Bytes that may wait for the peer: some seconds of a slow link.
+    /// Maximum number of bytes buffered for the peer: a few seconds on a slow network path.
     static constexpr auto longestBacklog = std::size_t{8 * 1024 * 1024};
 
     explicit FramedConnection(boost::asio::ip::tcp::socket socket);
 
     /// Starts to read.
-    /// \param received gets each message
+    /// \param received called with each message
     /// \param closed called once when the connection has ended
     auto start(std::function<void(Message)> received, std::function<void()> closed) -> void;
 
-    /// \return whether the message was taken; not if the connection has ended
+    /// \return whether the message was queued; false if the connection has ended
     auto send(const Message &message) -> bool;
 
     auto close() -> void;
--- a/lib/Forwarding/ownerchannel.cpp
+++ b/lib/Forwarding/ownerchannel.cpp
@@ -22,16 +22,16 @@
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
-/// A way between zones and back takes some milliseconds; a proxy that does not take a connection in this time is down or cut off.
+/// A round trip between availability zones takes some milliseconds; a proxy that accepts no connection in this time is down or cut off.
 constexpr auto connectLimit = std::chrono::milliseconds(400);
-/// What an answer may take beyond the time that the owner was given: the way, and a busy processor.
+/// Time that an answer may take beyond the owner's own time limit: the round trip, and scheduling delays of a busy processor.
 constexpr auto answerSlack = std::chrono::milliseconds(250);
-/// An owner that has sent nothing for this long while a question waits is asked whether it is there. Owners answer many proxies' statements of
-/// some tens of milliseconds; with a question this often at most, an idle one costs next to nothing.
+/// An owner that has sent nothing for this long while a request is pending is pinged. Owners answer the statements of many proxies, which
+/// take some tens of milliseconds; at most one ping per interval makes the cost of an idle owner negligible.
 constexpr auto quietTime = std::chrono::milliseconds(100);
-/// Beside the traffic nobody waits: an owner that is short of processor time answers late, and can still serve.
+/// Time limit of a probe. No statement waits for a probe, and an owner that is short of processor time answers late but can still serve.
 constexpr auto lookLimit = std::chrono::milliseconds(1'000);
-/// An owner that is there answers within the way there and back and a turn of a busy processor.
+/// A responsive owner answers a ping within the round trip and one scheduling delay of a busy processor.
 constexpr auto pongLimit = std::chrono::milliseconds(150);
 
 auto busy(std::string detail) -> interactive::FailureReply
@@ -40,7 +40,7 @@
     return {interactive::Failure::Busy, std::move(detail), comeBack};
 }
 
-/// A link that another proxy holds.
+/// A connection to an upstream that another proxy holds and this one leases.
 class RemoteLink : public interactive::UpstreamLink
 {
 public:
@@ -67,7 +67,7 @@
         }
         auto request = Exchange{{commands.begin(), commands.end()}, std::chrono::ceil<std::chrono::milliseconds>(limit)};
         result = co_await this->channel->exchange(this->lease, std::move(request));
-        // The owner's clock is another one; the moment of sending here is the earlier one, and so the safe one for what it proves.
+        // The owner's time of sending is by another clock. The time of sending here is earlier, and so safe as the time of a proof.
         result.sentAt = sentAt;
         this->broken = this->broken || result.broken;
         co_return result;
@@ -83,7 +83,7 @@
         return !this->given && !this->broken && this->channel->generation() == this->generation;
     }
 
-    /// Returns the link to its owner.
+    /// Releases the lease at the owner.
     auto give(bool clean) -> void
     {
         if (!std::exchange(this->given, true) && this->channel->generation() == this->generation) {
@@ -167,7 +167,7 @@
             co_return std::move(exchanged->result);
         }
     }
-    // Without an answer the commands may have reached the upstream through the owner.
+    // Without an answer it is unknown whether the owner sent the commands to the upstream.
     auto lost = interactive::ExchangeResult();
     lost.sent = true;
     lost.broken = true;
@@ -192,8 +192,8 @@
     if (proved == nullptr || !proved->position) {
         co_return std::nullopt;
     }
-    // The owner measured the age after it got the question. Counted back from the question the proof is a little older than it is, and so
-    // claims less.
+    // The owner measured the age after it received the request. Subtracted from the time of the request, the age makes the proof appear
+    // slightly older than it is, which is the safe direction.
     co_return interactive::PositionProof{asked - proved->age, *proved->position};
 }
 
@@ -338,8 +338,8 @@
     if (answered || !hadConnection || this->presence.isPresent()) {
         co_return;
     }
-    // After a cut an old connection sends its bytes again only after seconds. It is given up only if the owner answers on a new one: leases of
-    // transactions that rest hang on it, and an owner that is merely slow still has them.
+    // After a network partition TCP retransmits on the old connection only after seconds. The connection is closed only if the owner answers
+    // on a new one: leases of idle transactions depend on it, and an owner that is merely slow still holds them.
     const auto fresh = std::make_shared<OwnerChannel>(this->executor, this->endpoint);
     const auto reached = co_await fresh->connect(connectLimit);
     const auto isThere = reached && co_await fresh->answersPing();
@@ -352,7 +352,7 @@
 
 auto OwnerChannel::answersPing() -> asio::awaitable<bool>
 {
-    // A frozen VM takes connections too.
+    // A frozen VM still accepts connections, so only an answer counts.
     auto question = Message{++this->lastLease, Ping()};
     const auto answer = co_await this->ask(std::move(question), lookLimit, Silence::IsEndured);
     co_return answer.has_value();
@@ -377,8 +377,8 @@
 
 auto OwnerChannel::awaitSignOfLife(std::shared_ptr<Waiter> waiter, Duration limit) -> asio::awaitable<void>
 {
-    // A VM that is frozen, or cut off without a word, leaves its connections open. Without a sign of life a statement would wait for its
-    // whole time, and so would each one after it, although other owners could serve them.
+    // A VM that freezes, or is cut off without a reset, leaves its connections open. Without pings a statement would wait until its time
+    // limit, and so would each one after it, although other owners could serve them.
     const auto self = this->shared_from_this();
     const auto at = this->generation();
     const auto until = support::now() + limit;
--- a/lib/Forwarding/ownerchannel.h
+++ b/lib/Forwarding/ownerchannel.h
@@ -1,4 +1,4 @@
-// ownerchannel.h: this proxy's connection to another one that owns links.
+// ownerchannel.h: client side of the connection to another proxy that owns connections to upstreams.
 #pragma once
 
 #include "framedconnection.h"
@@ -22,20 +22,22 @@
 namespace sapphirespool::forwarding
 {
 
-/// Returns a link that another proxy holds; does nothing with other links.
+/// Releases a connection that is leased from another proxy; does nothing for other connections.
+/// \param clean whether the owner may reuse the connection; otherwise it closes it
 auto giveBack(interactive::UpstreamLink &link, bool clean) -> void;
 
-/// Asks one owner for links and runs commands on them. Connects when it is first needed, and again after a failure.
+/// Leases connections from one owner and runs commands on them. Connects on first use, and again after a failure. An owner that failed is
+/// probed in the background until it answers.
 class OwnerChannel : public std::enable_shared_from_this<OwnerChannel>
 {
 public:
-    /// A link, or why there is none, with the owner's load at the upstream.
+    /// A connection, or the reason why there is none, with the owner's load at the upstream.
     struct AcquireResult
     {
         std::variant<std::shared_ptr<interactive::UpstreamLink>, interactive::FailureReply> link;
         /// Whether the owner answered at all.
         bool answered = false;
-        /// Whether it is no owner by its own view.
+        /// Whether it is not an owner according to its own view.
         bool notOwner = false;
         std::uint32_t load = 0;
     };
@@ -44,35 +46,35 @@
 
     auto acquire(Acquire request) -> boost::asio::awaitable<AcquireResult>;
 
-    /// Runs commands on the link of \p lease.
+    /// Runs commands on the connection of \p lease.
     auto exchange(std::uint64_t lease, Exchange request) -> boost::asio::awaitable<interactive::ExchangeResult>;
 
     auto release(std::uint64_t lease, Release request) -> void;
 
-    /// Asks the owner for a proof of how far a group's log has come.
+    /// Requests a proof of the current end of a group's log from the owner.
     auto prove(Prove request) -> boost::asio::awaitable<std::optional<interactive::PositionProof>>;
 
     auto close() -> void;
 
-    /// \return whether the owner is worth asking: it has not failed since it was last heard
+    /// \return whether the owner has not failed since the last contact
     [[nodiscard]] auto isWorthAsking() const -> bool;
 
-    /// The owner has started anew: what was noted of it before counts no more.
+    /// Clears the recorded failure of the owner, which has restarted since.
     auto startedAnew() -> void;
 
-    /// \return number of the connection, which leases do not outlive; 0 while there is none
+    /// \return the number of the current connection, or 0 while there is none; leases do not outlive their connection
     [[nodiscard]] auto generation() const -> std::uint64_t;
 
 private:
-    /// What an owner's silence means for a question.
+    /// How a request treats an owner that becomes unresponsive.
     enum class Silence {
-        /// The question is given up: nothing was run, or what was run does not last.
+        /// Abandons the request: nothing was run, or the effects of what was run do not last.
         GivesUp,
-        /// The answer is waited for to the end of its time, since without it a caller is left in doubt.
+        /// Waits for the answer until the time limit, since without it the outcome is in doubt for the caller.
         IsEndured,
     };
 
-    /// A coroutine that waits for an answer.
+    /// A pending request whose coroutine waits for the answer.
     struct Waiter
     {
         explicit Waiter(const boost::asio::any_io_executor &executor)
@@ -84,39 +86,40 @@
         std::optional<Message> answer;
     };
 
+    /// Connects, or waits for the attempt that is in progress.
     /// \return whether there is a connection
     auto connect(Duration limit) -> boost::asio::awaitable<bool>;
     auto received(Message message) -> void;
     auto ended() -> void;
     auto noteFailure() -> void;
     auto noteBack() -> void;
-    /// Looks for an owner that failed until it answers.
+    /// Probes an owner that failed until it answers, with increasing pauses.
     static auto lookForOwner(std::shared_ptr<OwnerChannel> self) -> boost::asio::awaitable<void>;
-    /// Connects if need be, and waits for a sign of life.
+    /// Connects if necessary, and pings the owner.
     auto look() -> boost::asio::awaitable<void>;
     auto answersPing() -> boost::asio::awaitable<bool>;
     /// Sends \p message and waits for its answer.
-    /// \param silence whether to go on waiting for an owner that gives no sign of life
-    /// \return nothing if none came in time
+    /// \param silence what to do if the owner becomes unresponsive
+    /// \return the answer, or nothing if none arrived in time
     auto ask(Message message, Duration limit, Silence silence) -> boost::asio::awaitable<std::optional<Message>>;
-    /// Waits until \p waiter has its answer, \p limit is over, the connection ends, or the owner proves to be silent.
+    /// Waits until \p waiter has its answer, \p limit has passed, the connection ends, or the owner fails to answer a ping.
     auto awaitSignOfLife(std::shared_ptr<Waiter> waiter, Duration limit) -> boost::asio::awaitable<void>;
     [[nodiscard]] auto isPending(const Waiter &waiter, std::uint64_t atGeneration) const -> bool;
 
     boost::asio::any_io_executor executor;
     Endpoint endpoint;
-    /// When the owner last sent anything.
+    /// Time of the last message from the owner.
     TimePoint heardAt{};
     std::shared_ptr<FramedConnection> connection;
     std::uint64_t connectionNumber = 0;
     std::uint64_t lastLease = 0;
     std::map<std::uint64_t, std::shared_ptr<Waiter>> waiters;
-    /// Coroutines that wait for the connection that is being made.
+    /// Wakes the coroutines that wait for the connection attempt in progress; null while there is none.
     std::shared_ptr<boost::asio::steady_timer> connecting;
     support::Presence presence;
-    /// Lines on an owner that comes and goes by turns.
+    /// Limits the log lines on an owner that keeps failing and recovering.
     support::LogBudget lines{1.0};
-    /// Whether the owner is being looked for.
+    /// Whether the background probe is running.
     bool looking = false;
     bool closed = false;
 };
--- a/lib/Forwarding/ownerserver.cpp
+++ b/lib/Forwarding/ownerserver.cpp
@@ -19,8 +19,8 @@
 
 namespace asio = boost::asio;
 
-/// Views of one revision reach the proxies within some tenths of a second of each other. An owner whose view takes longer is cut off from
-/// control, and the next one had better be asked.
+/// How long a request waits for a view that makes this proxy an owner. A new revision of the view reaches all proxies within some tenths of a
+/// second. An owner that takes longer is cut off from the control group, and the requesting proxy should try the next owner.
 constexpr auto viewPatience = std::chrono::milliseconds(250);
 
 } // namespace
@@ -29,9 +29,9 @@
 {
 public:
     std::map<std::uint64_t, interactive::LinkLease> held;
-    /// Leases that were given back before they were had.
+    /// Leases that were released before they were granted, or while an exchange was running on them.
     std::set<std::uint64_t> unwanted;
-    /// Leases on which an exchange runs; their release waits for its end.
+    /// Leases on which an exchange is running; their release takes effect when it ends.
     std::set<std::uint64_t> running;
 };
 
@@ -77,7 +77,7 @@
     } else if (std::holds_alternative<Ping>(message.body)) {
         this->connection->send(Message{message.lease, Pong()});
     } else {
-        // Only an owner answers; a peer that sends answers is not in step with this one.
+        // Only an owner sends answers; a peer that sends them here violates the protocol.
         this->connection->close();
     }
 }
@@ -122,7 +122,7 @@
         self->connection->send(answer);
         co_return;
     }
-    // Taken out while it runs: the connection may end meanwhile, and with it all leases.
+    // The lease is taken out of the map while the exchange runs: the connection may end meanwhile, which clears the map.
     auto held = std::move(found->second);
     self->leases->held.erase(found);
     self->leases->running.insert(lease);
@@ -157,7 +157,7 @@
     if (upstream) {
         const auto proof = co_await self->pool->prove(request.group, *std::move(upstream), request.oldest, request.limit);
         if (proof) {
-            // Rounded up: a proof may be called older than it is, never younger.
+            // Rounded up: a proof may be reported older than it is, never younger.
             const auto age = std::chrono::ceil<std::chrono::milliseconds>(support::now() - proof->sent);
             answer.body = Proved{proof->position, age};
         }
--- a/lib/Forwarding/ownerserver.h
+++ b/lib/Forwarding/ownerserver.h
@@ -1,4 +1,4 @@
-// ownerserver.h: lets other proxies use this proxy's links.
+// ownerserver.h: server side of a connection from another proxy, which uses this proxy's connections to upstreams.
 #pragma once
 
 #include "framedconnection.h"
@@ -16,7 +16,7 @@
 namespace sapphirespool::forwarding
 {
 
-/// The upstreams to which this proxy may have links, by its view.
+/// The upstreams to which this proxy may open connections according to its view.
 class OwnedUpstreams
 {
 public:
@@ -25,16 +25,17 @@
     auto operator=(const OwnedUpstreams &) -> OwnedUpstreams & = delete;
     virtual ~OwnedUpstreams() = default;
 
-    /// Waits for a view by which this proxy owns links to \p upstream, for \p patience at most.
+    /// Waits at most \p patience for a view that makes this proxy an owner of \p upstream.
     ///
-    /// Load pattern: after a loss of power, or as owners change, views reach the proxies one after another, and the proxies that have theirs
-    /// ask owners that have not. Refused, each of their callers would use up an attempt some tens of milliseconds before the owner could serve.
-    /// \return nothing if no such view came
+    /// Load pattern: after a power loss, or when owners change, views reach the proxies one after another, and proxies that have the new view
+    /// send requests to owners that do not have it yet. If the owner refused them, each caller would use up an attempt some tens of
+    /// milliseconds before the owner could serve it.
+    /// \return the upstream, or nothing if no such view arrived
     virtual auto awaitOwned(GroupId group, UpstreamId upstream, Duration patience) -> boost::asio::awaitable<std::optional<membership::UpstreamView>> = 0;
 };
 
-/// What another proxy holds here, for as long as its connection lasts. A connection that ends drops its leases: the links are closed,
-/// and the upstreams roll back what was not committed.
+/// Serves the requests of another proxy and holds its leases for as long as its connection lasts. When the connection ends, the leases
+/// are dropped: the connections to the upstreams are closed, and the upstreams roll back what was not committed.
 class OwnerConnection : public std::enable_shared_from_this<OwnerConnection>
 {
 public:
--- a/lib/Forwarding/ownership.cpp
+++ b/lib/Forwarding/ownership.cpp
@@ -23,7 +23,7 @@
     this->holdersByZone.clear();
     auto silent = std::vector<sessions::Holder>();
     for (const auto &proxy : view.proxies) {
-        // The links of control VMs to their group are listed beside the proxies.
+        // The view also lists the control VMs, which connect to their group but accept no callers.
         if (proxy.callers.port == 0 || proxy.leaving) {
             continue;
         }
@@ -44,7 +44,7 @@
     if (this->proxies <= ownersPerUpstream || this->usable(group, upstream) / this->proxies >= enoughForEach) {
         return {};
     }
-    // An owner in the upstream's own zone saves a second way between zones.
+    // An owner in the upstream's own availability zone saves a second round trip between zones.
     const auto near = this->holdersByZone.find(upstream.zone);
     const auto enoughNear = near != this->holdersByZone.end() && near->second.size() >= ownersPerUpstream;
     const auto &among = enoughNear ? near->second : this->holders;
--- a/unittests/Forwarding/codectest.cpp
+++ b/unittests/Forwarding/codectest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("messages between proxies come out as they went in")
+TEST_CASE("messages between proxies survive encoding and decoding")
 {
     const auto message = decode(encode(sample()));
     REQUIRE(message);
@@ -53,7 +53,7 @@
     CHECK(read.results.front().status == interactive::TransactionStatus::Open);
 }
 
-TEST_CASE("a question for a proof and its answer come out as they went in")
+TEST_CASE("a proof request and its answer survive encoding and decoding")
 {
     const auto question = decode(encode(Message{9, Prove{GroupId("g"), UpstreamId("a"), std::chrono::milliseconds(750), std::chrono::milliseconds(100)}}));
     REQUIRE(question);
@@ -71,9 +71,10 @@
     CHECK_FALSE(std::get<Proved>(none->body).position);
 }
 
-TEST_CASE("a message that claims more commands than any exchange has is no message, and an answer with many rows is one")
+TEST_CASE("decoding rejects an oversized command list but accepts an answer with many rows")
 {
-    // Empty commands take hardly a byte, so that a small message can claim more of them than fit into memory. Rows are the caller's data.
+    // Empty commands take hardly a byte in the packed form, so a small message can declare more of them than fit into memory. Rows are
+    // the caller's data and not bounded.
     auto exchange = Exchange();
     exchange.commands.resize(rpc::longestList + 1);
     CHECK_FALSE(decode(encode(Message{8, exchange})));
@@ -84,7 +85,7 @@
     CHECK(decode(encode(Message{8, answer})));
 }
 
-TEST_CASE("bytes that were cut or changed give no message or another one, and nothing worse")
+TEST_CASE("decoding truncated or corrupted bytes fails cleanly or gives another message")
 {
     const auto bytes = encode(sample());
     for (std::size_t length = 0; length < bytes.size(); ++length) {
--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -30,7 +30,7 @@
 
 constexpr auto proxyCount = 12;
 
-/// The way of one proxy to the upstreams.
+/// Connects one proxy to the upstreams, unless the test makes them unreachable for it.
 class CutConnector : public interactive::LinkConnector
 {
 public:
@@ -60,7 +60,7 @@
     std::shared_ptr<interactive::LinkConnector> inner;
 };
 
-/// Twelve proxies before an upstream that takes eleven connections.
+/// Twelve proxies in front of an upstream that accepts eleven connections.
 struct Fleet
 {
     Fleet()
@@ -101,7 +101,7 @@
     Fleet(const Fleet &) = delete;
     auto operator=(const Fleet &) -> Fleet & = delete;
 
-    /// Keeps the upstreams from taking connections of \p proxy.
+    /// Makes the upstreams unreachable for \p proxy.
     auto cutOff(std::size_t proxy) -> void
     {
         this->cut.at(proxy)->reachable = false;
@@ -113,7 +113,8 @@
         this->io.run_for(time);
     }
 
-    /// \return whether a lease was had; kept in leases
+    /// Acquires a lease and keeps it in leases.
+    /// \return why there is none, or nothing on success
     auto acquire(std::size_t proxy, Duration patience = 50ms) -> std::optional<FailureReply>
     {
         return this->finish(this->beginAcquire(proxy, patience));
@@ -163,7 +164,7 @@
         return result->value();
     }
 
-    /// \return a proxy that has to ask others for the first upstream
+    /// \return a proxy that forwards its statements for the first upstream to owners
     [[nodiscard]] auto proxyWithoutLinks() const -> std::size_t
     {
         for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
@@ -177,7 +178,7 @@
         return proxyCount;
     }
 
-    /// Lets the proxies \p vms take connections and bytes and say nothing, for as long as the result lasts.
+    /// Replaces the peer endpoints of \p vms by one that accepts connections and data but never answers, for the lifetime of the result.
     [[nodiscard]] auto freeze(const std::vector<VmId> &vms) -> asio::ip::tcp::acceptor
     {
         auto silent = asio::ip::tcp::acceptor(this->io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -194,11 +195,12 @@
     struct LongestAcquire
     {
         Duration time{};
-        /// Whether each had a lease.
+        /// Whether each acquisition succeeded.
         bool served = true;
     };
 
-    /// \return the longest of many acquisitions during \p time, after the first second
+    /// Acquires leases repeatedly for one second and then for \p time.
+    /// \return the longest acquisition after the first second
     auto longestAcquire(std::size_t proxy, Duration time) -> LongestAcquire
     {
         const auto from = support::now() + 1s;
@@ -225,7 +227,7 @@
         return *this->pools.at(place);
     }
 
-    /// \return the owners that \p proxy asks, in its order
+    /// \return the owners in the order of preference of \p proxy
     [[nodiscard]] auto ownersFor(std::size_t proxy) const -> std::vector<VmId>
     {
         auto ownership = Ownership(this->view->proxies.at(proxy).id, ZoneId("zone-a"));
@@ -239,7 +241,7 @@
         return this->ownersFor(proxy).front();
     }
 
-    /// \return when transactions that may write were begun, in their order
+    /// \return when read-write transactions were begun, in order
     [[nodiscard]] auto begunAtPrimary() const -> std::vector<TimePoint>
     {
         auto begun = std::vector<TimePoint>();
@@ -291,7 +293,7 @@
     }
 };
 
-/// The owners that a proxy of the fleet asks, on a loop of their own that can stand still.
+/// The owners of a proxy of the fleet, on a separate event loop that the test can stall.
 class StallingOwners
 {
 public:
@@ -325,7 +327,7 @@
     StallingOwners(const StallingOwners &) = delete;
     auto operator=(const StallingOwners &) -> StallingOwners & = delete;
 
-    /// Lets the owners and the fleet run by turns.
+    /// Runs the event loops of the owners and of the fleet alternately.
     auto runWithFleet(std::chrono::milliseconds time) -> void
     {
         for (auto passed = 0ms; passed < time; passed += 2ms) {
@@ -343,9 +345,9 @@
 
 } // namespace
 
-TEST_CASE("each proxy gets a link, and the upstream's limit is kept")
+TEST_CASE("each proxy gets a connection within the connection limit of the upstream")
 {
-    // A caller at any proxy is served although there are fewer connections than proxies; all together never open more than the limit.
+    // A caller at any proxy is served although there are fewer connections than proxies, and all proxies together never exceed the limit.
     auto fleet = Fleet();
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
         INFO(proxy);
@@ -361,11 +363,12 @@
     CHECK(fleet.databases.member("a").applied == proxyCount);
 }
 
-TEST_CASE("proofs that owners give are never younger than they claim, and most cost the primary nothing")
+TEST_CASE("proofs from owners never appear younger than they are, and most do not query the primary")
 {
-    // A proof that is taken for younger than it is lets a replica serve that lacks an acknowledged write. Each proxy asks an owner, which
-    // asked the primary some time ago; between the two lie the ways and the owner's wait. Counted back from the question, the claim
-    // lies before all of that, by no more than the question took. Owners that have a proof young enough do not ask the primary again.
+    // Failure: a proof that appears younger than it is lets a replica serve reads although it lacks an acknowledged write. Each proxy queries
+    // an owner, which may have queried the primary some time ago; the round trip and the owner's wait come in between. The reported time is
+    // counted back from the request of the proxy, so it is earlier than the query to the primary, by at most the duration of the request.
+    // Owners whose proof is recent enough do not query the primary again.
     constexpr auto rounding = 1ms;
     auto fleet = Fleet();
     auto primaryAsked = std::map<VmId, TimePoint>();
@@ -389,10 +392,10 @@
     CHECK_FALSE(fleet.prove(0, 0ms));
 }
 
-TEST_CASE("a lease that is dropped rolls its transaction back at the owner")
+TEST_CASE("dropping a lease rolls its transaction back at the owner")
 {
-    // The caller's proxy drops the lease in the middle of a transaction. Given back as clean, the owner would hand the open transaction
-    // to the next caller.
+    // The caller's proxy drops the lease in the middle of a transaction. If the owner treated the connection as clean, it would hand the open
+    // transaction to the next caller.
     auto fleet = Fleet();
     REQUIRE_FALSE(fleet.acquire(0));
     REQUIRE_FALSE(fleet.acquire(1));
@@ -403,10 +406,11 @@
     CHECK(fleet.databases.member("a").connections == 0);
 }
 
-TEST_CASE("a frozen owner costs a statement a moment, not its time")
+TEST_CASE("a frozen owner delays a statement only briefly")
 {
-    // An owner freezes: it takes connections and bytes and says nothing. Each statement that is sent there would wait for its whole time
-    // and its caller be told nothing until the deadline, although two other owners have links. It is asked for a sign of life, and left.
+    // Failure: an owner freezes, so that it accepts connections and data but never answers. Each statement sent to it would wait until its
+    // time limit, and its caller would get no answer until the deadline, although two other owners have connections. The proxy pings
+    // the owner and moves on to the next one.
     auto fleet = Fleet();
     const auto frozen = fleet.freeze({fleet.firstOwnerFor(0)});
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
@@ -418,10 +422,10 @@
     }
 }
 
-TEST_CASE("an owner that stays away costs statements nothing once it was given up")
+TEST_CASE("an owner that stays unreachable does not delay statements once it was detected")
 {
-    // Load pattern: a cut between a proxy and some owners lasts for seconds. Were it the statements that find out whether an owner is back, one
-    // in five would wait for it.
+    // Load pattern: a network partition between a proxy and some owners lasts for seconds. If statements were used to detect that an owner is
+    // reachable again, one in five would wait for it.
     auto fleet = Fleet();
     const auto proxy = fleet.proxyWithoutLinks();
 
@@ -432,7 +436,7 @@
         CHECK(longest.served);
         CHECK(longest.time < 100ms);
     }
-    SECTION("while none answers, and is refused at once")
+    SECTION("while none answers, and statements are refused at once")
     {
         const auto frozen = fleet.freeze(fleet.ownersFor(proxy));
         const auto longest = fleet.longestAcquire(proxy, 2s);
@@ -441,10 +445,10 @@
     }
 }
 
-TEST_CASE("a transaction that rests at a slow owner outlives the looks for it")
+TEST_CASE("a transaction that is idle at a slow owner survives the probes of the owner")
 {
-    // Failure: owners that are short of processor time say nothing for most of a second. A proxy that closed its connections to them would have
-    // all transactions that rest there rolled back, and their callers come again when the load is highest.
+    // Failure: owners that are short of processor time send nothing for most of a second. If a proxy closed its connections to them, all
+    // transactions that are idle there would be rolled back, and their callers would retry when the load is highest.
     auto fleet = Fleet();
     const auto proxy = fleet.proxyWithoutLinks();
     auto owners = StallingOwners(fleet, proxy);
@@ -458,9 +462,9 @@
     fleet.leases.clear();
 }
 
-TEST_CASE("an owner that comes back is asked again")
+TEST_CASE("an owner that is reachable again is used again")
 {
-    // Owners that were given up and never looked for would leave their part of the connections idle for good.
+    // Failure: without probes of unreachable owners, their share of the connections would stay idle for good.
     auto fleet = Fleet();
     const auto proxy = fleet.proxyWithoutLinks();
     auto owners = StallingOwners(fleet, proxy);
@@ -478,10 +482,10 @@
     CHECK(support::now() - back < 3s);
 }
 
-TEST_CASE("an owner that cannot reach the upstream is not the end of the matter")
+TEST_CASE("the next owner is tried when one cannot reach the upstream")
 {
-    // The primary is cut off from one of its owners, and takes connections from the others. A proxy that asks the one is told so, and must
-    // not tell its caller: the next owner has a link.
+    // The primary is cut off from one of its owners and accepts connections from the others. That owner answers a proxy's request with
+    // Unreachable, which the proxy must not pass to its caller: the next owner has a connection.
     auto fleet = Fleet();
     auto ownership = Ownership(VmId("vm-10"), ZoneId("zone-a"));
     ownership.viewChanged(*fleet.view);
@@ -499,9 +503,9 @@
     }
 }
 
-TEST_CASE("an owner whose view is a moment behind is waited for")
+TEST_CASE("a request waits for an owner whose view is briefly behind")
 {
-    // After a loss of power a proxy with a view asks an owner that has none yet, and must not send its caller away for that.
+    // After a power loss a proxy that has a view sends a request to an owner that has none yet. The caller must not be refused for that.
     auto fleet = Fleet();
     const auto proxy = fleet.proxyWithoutLinks();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
@@ -514,9 +518,9 @@
     CHECK(owner.counts().busy == 1);
 }
 
-TEST_CASE("an owner whose view stays behind is passed over")
+TEST_CASE("an owner whose view stays behind is skipped")
 {
-    // An owner that is cut off from control does not know a new upstream; two others serve it.
+    // An owner that is cut off from the control group has no view with a new upstream; two other owners serve it.
     auto fleet = Fleet();
     const auto proxy = fleet.proxyWithoutLinks();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
@@ -527,9 +531,9 @@
     CHECK(owner.counts().busy == 0);
 }
 
-TEST_CASE("an answer that is lost between proxies is not called unsent")
+TEST_CASE("a write whose answer is lost between proxies is not reported as unsent")
 {
-    // The owner ends while a write is on its way through it. The write may have reached the upstream, so nobody may say that it did not.
+    // The owner stops while it forwards a write. The write may have reached the upstream, so the result must not claim that it was not sent.
     auto fleet = Fleet();
     auto remote = std::optional<std::size_t>();
     for (std::size_t proxy = 0; proxy < proxyCount && !remote; ++proxy) {
--- a/unittests/Forwarding/ownershiptest.cpp
+++ b/unittests/Forwarding/ownershiptest.cpp
@@ -34,7 +34,7 @@
     return view;
 }
 
-/// \return connections that all proxies of \p view together may have to \p upstream
+/// \return the sum of the connections that all proxies of \p view may open to \p upstream
 auto sumOfShares(const membership::ClusterView &view, const membership::UpstreamView &upstream) -> std::size_t
 {
     auto sum = std::size_t{0};
@@ -48,9 +48,10 @@
 
 } // namespace
 
-TEST_CASE("all proxies together stay within the connections of an upstream, at any size")
+TEST_CASE("the shares of all proxies stay within the connection limit of an upstream, at any fleet size")
 {
-    // 89 proxies before an upstream that takes 58 connections: one each would be 31 too many, and a third of the proxies would be refused.
+    // With 89 proxies and an upstream that accepts 58 connections, one connection per proxy would be 31 too many, and a third of the proxies
+    // would be refused.
     for (const auto proxies : {1U, 2U, 3U, 4U, 10U, 12U, 30U, 79U, 89U, 300U}) {
         for (const auto connections : {34U, 40U, 58U, 114U}) {
             const auto view = viewOf(proxies, connections);
@@ -64,7 +65,7 @@
     }
 }
 
-TEST_CASE("all proxies name the same owners, in the upstream's zone, and ask them in different orders")
+TEST_CASE("all proxies choose the same owners, in the upstream's zone, with different orders of preference")
 {
     const auto view = viewOf(60, 58);
     const auto &group = view.groups.front();
@@ -86,7 +87,7 @@
     CHECK(first.size() == Ownership::ownersPerUpstream);
 }
 
-TEST_CASE("a proxy that leaves owns nothing more, and only its own place goes to another one")
+TEST_CASE("a leaving proxy is no longer an owner, and only its own position is reassigned")
 {
     auto view = viewOf(60, 58);
     const auto &upstream = view.groups.front().members.front();
@@ -104,9 +105,10 @@
     CHECK(kept == static_cast<std::ptrdiff_t>(before.size()) - 1);
 }
 
-TEST_CASE("owners that control does not hear give their places to others, as long as enough are heard")
+TEST_CASE("unresponsive owners are replaced as long as enough proxies are responsive")
 {
-    // The caller sees: a group with a new primary that nobody serves. All owners of its connections are among the proxies that were cut off.
+    // Failure: a group has a new primary, but no proxy serves it, because all owners of its connections are among the proxies that were cut
+    // off from the control group.
     auto view = viewOf(60, 58);
     const auto &upstream = view.groups.front().members.front();
     auto ownership = Ownership(VmId("vm-0"), ZoneId("zone-0"));
@@ -128,7 +130,7 @@
     CHECK(ownership.ownersOf(view.groups.front(), upstream).size() == Ownership::ownersPerUpstream);
 }
 
-TEST_CASE("proxies keep connections of their own where there are enough for each")
+TEST_CASE("each proxy opens its own connections where there are enough for all")
 {
     const auto view = viewOf(10, 34);
     auto ownership = Ownership(VmId("vm-0"), ZoneId("zone-0"));
