--- a/include/sapphirespool/Forwarding/forwardingpool.h
+++ b/include/sapphirespool/Forwarding/forwardingpool.h
@@ -29,8 +29,8 @@
     virtual auto close() -> void = 0;
 };
 
-/// \param own pool of this proxy's own connections; the new pool sets its limits
-[[nodiscard]] auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<interactive::LinkPool> own, const boost::asio::any_io_executor &executor)
+/// \param localPool pool of this proxy's own connections; the new pool sets its limits
+[[nodiscard]] auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<interactive::LinkPool> localPool, const boost::asio::any_io_executor &executor)
     -> std::shared_ptr<ForwardingPool>;
 
 } // namespace sapphirespool::forwarding
--- a/include/sapphirespool/Forwarding/ownership.h
+++ b/include/sapphirespool/Forwarding/ownership.h
@@ -29,15 +29,15 @@
     static constexpr auto ownersPerUpstream = std::size_t{3};
     /// If an equal split gives each proxy at least this many connections, all proxies open their own: a proxy with that many rarely has
     /// all of them busy while its peers have idle ones, and it saves the round trip to an owner.
-    static constexpr auto enoughForEach = std::size_t{3};
+    static constexpr auto minEqualShare = std::size_t{3};
     /// Connections left for the control group, which queries the members' state during a promotion.
-    static constexpr auto reserved = std::uint32_t{2};
+    static constexpr auto reservedConnections = std::uint32_t{2};
 
     /// Statements in flight per slot, summed over all holders. A forwarded statement counts during its round trip between proxies too,
     /// which for short statements takes as long as their execution: with one statement per slot the slots would idle half of the time.
     static constexpr auto statementsPerSlot = std::size_t{2};
     /// Lower bound for the statements in flight per holder, so that two concurrent callers need not wait for each other while slots are idle.
-    static constexpr auto leastStatements = std::size_t{2};
+    static constexpr auto minStatementsPerHolder = std::size_t{2};
 
     Ownership(VmId self, ZoneId zone);
 
@@ -51,7 +51,7 @@
     [[nodiscard]] auto share(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> interactive::LinkLimits;
 
 private:
-    [[nodiscard]] auto usable(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> std::size_t;
+    [[nodiscard]] auto usableConnections(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> std::size_t;
 
     VmId self;
     ZoneId zone;
--- a/lib/Forwarding/codec.cpp
+++ b/lib/Forwarding/codec.cpp
@@ -28,19 +28,19 @@
 using rpc::ofSaneLength;
 
 template <typename Elements>
-auto sizeOf(const Elements &elements) -> unsigned
+auto listSize(const Elements &elements) -> unsigned
 {
     return static_cast<unsigned>(elements.size());
 }
 
-auto text(capnp::Text::Reader from) -> std::string
+auto toString(capnp::Text::Reader from) -> std::string
 {
     return {from.begin(), from.size()};
 }
 
 /// \return the enum value of \p number, or \p highest if \p number is above it
 template <typename Enum>
-auto enumOf(std::uint8_t number, Enum highest) -> Enum
+auto enumOrHighest(std::uint8_t number, Enum highest) -> Enum
 {
     return number <= static_cast<std::uint8_t>(highest) ? static_cast<Enum>(number) : highest;
 }
@@ -64,16 +64,16 @@
 
 auto read(schema::Shape::Reader from) -> PreparedShape
 {
-    return {from.getWrites(), text(from.getShape())};
+    return {from.getWrites(), toString(from.getShape())};
 }
 
 auto write(capnp::List<schema::Value>::Builder to, const SessionValues &from) -> void
 {
-    auto place = 0U;
+    auto index = 0U;
     for (const auto &[name, value] : from) {
-        to[place].setName(name);
-        to[place].setValue(value);
-        ++place;
+        to[index].setName(name);
+        to[index].setValue(value);
+        ++index;
     }
 }
 
@@ -81,7 +81,7 @@
 {
     auto values = SessionValues();
     for (const auto value : ofSaneLength(from)) {
-        values.insert_or_assign(text(value.getName()), text(value.getValue()));
+        values.insert_or_assign(toString(value.getName()), toString(value.getValue()));
     }
     return values;
 }
@@ -89,13 +89,13 @@
 template <typename Builder>
 auto writeState(Builder to, const LinkState &from) -> void
 {
-    write(to.initValues(sizeOf(from.values)), from.values);
-    auto prepared = to.initPrepared(sizeOf(from.prepared));
-    auto place = 0U;
+    write(to.initValues(listSize(from.values)), from.values);
+    auto prepared = to.initPrepared(listSize(from.prepared));
+    auto index = 0U;
     for (const auto &[shape, name] : from.prepared) {
-        write(prepared[place].initShape(), shape);
-        prepared[place].setName(name);
-        ++place;
+        write(prepared[index].initShape(), shape);
+        prepared[index].setName(name);
+        ++index;
     }
 }
 
@@ -104,7 +104,7 @@
 {
     auto state = LinkState{read(from.getValues()), {}};
     for (const auto prepared : ofSaneLength(from.getPrepared())) {
-        state.prepared.insert_or_assign(read(prepared.getShape()), text(prepared.getName()));
+        state.prepared.insert_or_assign(read(prepared.getShape()), toString(prepared.getName()));
     }
     return state;
 }
@@ -118,7 +118,7 @@
 
 auto read(schema::Failure::Reader from) -> FailureReply
 {
-    auto failure = FailureReply{enumOf(from.getFailure(), Failure::UnknownName), text(from.getDetail()), {}};
+    auto failure = FailureReply{enumOrHighest(from.getFailure(), Failure::UnknownName), toString(from.getDetail()), {}};
     if (from.getRetryAfterMs() > 0) {
         failure.retryAfter = std::chrono::milliseconds(from.getRetryAfterMs());
     }
@@ -142,10 +142,10 @@
 auto read(schema::Command::Reader from) -> Command
 {
     auto command = Command();
-    command.kind = enumOf(from.getKind(), CommandKind::Run);
-    command.id = text(from.getId());
-    command.name = text(from.getName());
-    command.text = text(from.getText());
+    command.kind = enumOrHighest(from.getKind(), CommandKind::Run);
+    command.id = toString(from.getId());
+    command.name = toString(from.getName());
+    command.text = toString(from.getText());
     if (from.hasShape()) {
         command.shape = read(from.getShape());
     }
@@ -157,9 +157,9 @@
 
 auto write(schema::CommandResult::Builder to, const CommandResult &from) -> void
 {
-    auto rows = to.initRows(sizeOf(from.rows));
-    for (auto place = 0U; place < rows.size(); ++place) {
-        rows.set(place, from.rows[place]);
+    auto rows = to.initRows(listSize(from.rows));
+    for (auto index = 0U; index < rows.size(); ++index) {
+        rows.set(index, from.rows[index]);
     }
     to.setSignature(from.signature);
     to.setStatus(static_cast<std::uint8_t>(from.status));
@@ -176,10 +176,10 @@
     auto result = CommandResult();
     // Unlike other lists the number of rows is not bounded: an answer may have many, and each one takes up bytes of the message.
     for (const auto row : from.getRows()) {
-        result.rows.push_back(text(row));
+        result.rows.push_back(toString(row));
     }
-    result.signature = text(from.getSignature());
-    result.status = enumOf(from.getStatus(), TransactionStatus::Failed);
+    result.signature = toString(from.getSignature());
+    result.status = enumOrHighest(from.getStatus(), TransactionStatus::Failed);
     if (from.hasFailure()) {
         result.failure = read(from.getFailure());
     }
@@ -198,7 +198,7 @@
         auto out = this->to.initAcquire();
         out.setGroup(body.group.value());
         out.setUpstream(body.upstream.value());
-        write(out.initValues(sizeOf(body.values)), body.values);
+        write(out.initValues(listSize(body.values)), body.values);
         out.setPatienceMs(static_cast<std::uint64_t>(body.patience.count()));
         out.setConnectMs(static_cast<std::uint64_t>(body.connectLimit.count()));
         out.setObjectiveMs(static_cast<std::uint64_t>(body.objective.count()));
@@ -222,9 +222,9 @@
     auto operator()(const Exchange &body) -> void
     {
         auto out = this->to.initExchange();
-        auto commands = out.initCommands(sizeOf(body.commands));
-        for (auto place = 0U; place < commands.size(); ++place) {
-            write(commands[place], body.commands[place]);
+        auto commands = out.initCommands(listSize(body.commands));
+        for (auto index = 0U; index < commands.size(); ++index) {
+            write(commands[index], body.commands[index]);
         }
         out.setLimitMs(static_cast<std::uint64_t>(body.limit.count()));
     }
@@ -232,9 +232,9 @@
     auto operator()(const Exchanged &body) -> void
     {
         auto out = this->to.initExchanged();
-        auto results = out.initResults(sizeOf(body.result.results));
-        for (auto place = 0U; place < results.size(); ++place) {
-            write(results[place], body.result.results[place]);
+        auto results = out.initResults(listSize(body.result.results));
+        for (auto index = 0U; index < results.size(); ++index) {
+            write(results[index], body.result.results[index]);
         }
         out.setSent(body.result.sent);
         out.setBroken(body.result.broken);
@@ -278,8 +278,8 @@
 
 auto readProve(schema::Message::Prove::Reader from) -> Prove
 {
-    return {GroupId(text(from.getGroup())),
-            UpstreamId(text(from.getUpstream())),
+    return {GroupId(toString(from.getGroup())),
+            UpstreamId(toString(from.getUpstream())),
             std::chrono::milliseconds(from.getOldestMs()),
             std::chrono::milliseconds(from.getLimitMs())};
 }
@@ -295,8 +295,8 @@
 
 auto readAcquire(schema::Message::Acquire::Reader from) -> Acquire
 {
-    return {GroupId(text(from.getGroup())),
-            UpstreamId(text(from.getUpstream())),
+    return {GroupId(toString(from.getGroup())),
+            UpstreamId(toString(from.getUpstream())),
             read(from.getValues()),
             std::chrono::milliseconds(from.getPatienceMs()),
             std::chrono::milliseconds(from.getConnectMs()),
--- a/lib/Forwarding/forwardingpool.cpp
+++ b/lib/Forwarding/forwardingpool.cpp
@@ -30,7 +30,7 @@
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 /// Backoff after a failed accept, which usually means that the process is out of file descriptors.
-constexpr auto acceptPause = std::chrono::milliseconds(100);
+constexpr auto acceptBackoff = std::chrono::milliseconds(100);
 
 using interactive::FailureReply;
 using interactive::LeaseResult;
@@ -38,19 +38,19 @@
 using interactive::LinkPool;
 
 /// Connections to one upstream that this proxy leases from other proxies, and the load that those last reported for the upstream.
-struct RemoteUse
+struct RemoteUsage
 {
     std::size_t busy = 0;
     std::map<VmId, std::uint32_t> loads;
 };
 
-class OwnersPool : public ForwardingPool, public OwnedUpstreams, public std::enable_shared_from_this<OwnersPool>
+class ForwardingPoolImpl : public ForwardingPool, public OwnedUpstreams, public std::enable_shared_from_this<ForwardingPoolImpl>
 {
 public:
-    OwnersPool(VmId self, ZoneId zone, std::shared_ptr<LinkPool> own, const asio::any_io_executor &executor)
+    ForwardingPoolImpl(VmId self, ZoneId zone, std::shared_ptr<LinkPool> localPool, const asio::any_io_executor &executor)
         : self(self)
         , ownership(std::move(self), std::move(zone))
-        , own(std::move(own))
+        , localPool(std::move(localPool))
         , executor(executor)
         , acceptor(executor)
         , viewSignal(executor)
@@ -70,18 +70,18 @@
 
     auto viewChanged(std::shared_ptr<const membership::ClusterView> newView) -> void override
     {
-        const auto former = std::exchange(this->view, std::move(newView));
+        const auto previous = std::exchange(this->view, std::move(newView));
         this->ownership.viewChanged(*this->view);
         for (const auto &group : this->view->groups) {
             for (const auto &member : group.members) {
-                this->own->setLimits(member.id, this->ownership.share(group, member));
+                this->localPool->setLimits(member.id, this->ownership.share(group, member));
             }
         }
-        this->forgetGone(former.get());
+        this->clearRemovedMembers(previous.get());
         this->viewSignal.notify();
         for (auto channel = this->channels.begin(); channel != this->channels.end();) {
-            const auto stays = staysWith(this->view->findProxy(channel->first), channel->second);
-            channel = stays ? std::next(channel) : this->channels.erase(channel);
+            const auto isUsable = updateChannel(this->view->findProxy(channel->first), channel->second);
+            channel = isUsable ? std::next(channel) : this->channels.erase(channel);
         }
     }
 
@@ -92,7 +92,7 @@
         for (const auto &[vm, channel] : this->channels) {
             channel.channel->close();
         }
-        const auto present = std::vector<std::shared_ptr<OwnerConnection>>(this->served.begin(), this->served.end());
+        const auto present = std::vector<std::shared_ptr<OwnerConnection>>(this->inboundConnections.begin(), this->inboundConnections.end());
         for (const auto &connection : present) {
             connection->close();
         }
@@ -100,11 +100,11 @@
 
     auto acquire(GroupId group, membership::UpstreamView upstream, interactive::LinkClaim claim) -> asio::awaitable<LeaseResult> override
     {
-        const auto keep = this->shared_from_this();
-        const auto *const known = this->view == nullptr ? nullptr : this->view->findGroup(group);
-        const auto owners = known == nullptr ? std::vector<VmId>() : this->ownership.ownersOf(*known, upstream);
+        const auto keepAlive = this->shared_from_this();
+        const auto *const groupView = this->view == nullptr ? nullptr : this->view->findGroup(group);
+        const auto owners = groupView == nullptr ? std::vector<VmId>() : this->ownership.ownersOf(*groupView, upstream);
         if (owners.empty()) {
-            co_return co_await this->own->acquire(group, upstream, std::move(claim));
+            co_return co_await this->localPool->acquire(group, upstream, std::move(claim));
         }
         const auto request = Acquire{group,
                                      upstream.id,
@@ -113,8 +113,8 @@
                                      std::chrono::ceil<std::chrono::milliseconds>(claim.connectLimit),
                                      std::chrono::ceil<std::chrono::milliseconds>(claim.objective),
                                      claim.priority};
-        const auto order = this->orderOf(owners, upstream.id);
-        auto why
+        const auto order = this->orderOwners(owners, upstream.id);
+        auto failureReply
             = FailureReply{interactive::Failure::Busy, "no proxy that owns connections to " + upstream.id.value() + " answers", std::chrono::milliseconds(100)};
         for (const auto &owner : order) {
             auto result = co_await this->acquireFrom(owner, group, upstream, claim, request);
@@ -125,30 +125,30 @@
             if (refused == nullptr || !mayOtherOwnersServe(refused->failure)) {
                 co_return std::move(*result);
             }
-            why = std::move(*refused);
+            failureReply = std::move(*refused);
         }
-        co_return why;
+        co_return failureReply;
     }
 
     auto probe(GroupId group, membership::UpstreamView upstream, Duration limit, bool thorough) -> asio::awaitable<std::optional<FailureReply>> override
     {
-        return this->own->probe(std::move(group), std::move(upstream), limit, thorough);
+        return this->localPool->probe(std::move(group), std::move(upstream), limit, thorough);
     }
 
     auto prove(GroupId group, membership::UpstreamView upstream, Duration oldest, Duration limit)
         -> asio::awaitable<std::optional<interactive::PositionProof>> override
     {
-        const auto keep = this->shared_from_this();
-        const auto *const known = this->view == nullptr ? nullptr : this->view->findGroup(group);
-        const auto owners = known == nullptr ? std::vector<VmId>() : this->ownership.ownersOf(*known, upstream);
+        const auto keepAlive = this->shared_from_this();
+        const auto *const groupView = this->view == nullptr ? nullptr : this->view->findGroup(group);
+        const auto owners = groupView == nullptr ? std::vector<VmId>() : this->ownership.ownersOf(*groupView, upstream);
         if (owners.empty()) {
-            co_return co_await this->own->prove(group, upstream, oldest, limit);
+            co_return co_await this->localPool->prove(group, upstream, oldest, limit);
         }
         const auto request
             = Prove{group, upstream.id, std::chrono::floor<std::chrono::milliseconds>(oldest), std::chrono::ceil<std::chrono::milliseconds>(limit)};
-        for (const auto &owner : this->orderOf(owners, upstream.id)) {
+        for (const auto &owner : this->orderOwners(owners, upstream.id)) {
             if (owner == this->self) {
-                co_return co_await this->own->prove(group, upstream, oldest, limit);
+                co_return co_await this->localPool->prove(group, upstream, oldest, limit);
             }
             const auto channel = this->channelTo(owner);
             auto proof = std::optional<interactive::PositionProof>();
@@ -164,11 +164,11 @@
 
     auto awaitOwned(GroupId group, UpstreamId upstream, Duration patience) -> asio::awaitable<std::optional<membership::UpstreamView>> override
     {
-        const auto keep = this->shared_from_this();
-        const auto until = std::chrono::steady_clock::now() + patience;
+        const auto keepAlive = this->shared_from_this();
+        const auto deadline = std::chrono::steady_clock::now() + patience;
         auto owned = this->findOwned(group, upstream);
-        while (!owned && std::chrono::steady_clock::now() < until) {
-            co_await this->viewSignal.wait(until);
+        while (!owned && std::chrono::steady_clock::now() < deadline) {
+            co_await this->viewSignal.wait(deadline);
             owned = this->findOwned(group, upstream);
         }
         co_return owned;
@@ -181,16 +181,16 @@
 
     auto retire(const UpstreamId &upstream) -> void override
     {
-        this->own->retire(upstream);
-        if (const auto found = this->uses.find(upstream); found != this->uses.end() && found->second.busy == 0) {
-            this->uses.erase(found);
+        this->localPool->retire(upstream);
+        if (const auto found = this->remoteUsages.find(upstream); found != this->remoteUsages.end() && found->second.busy == 0) {
+            this->remoteUsages.erase(found);
         }
     }
 
     [[nodiscard]] auto counts(const UpstreamId &upstream) const -> LinkCounts override
     {
-        auto counts = this->own->counts(upstream);
-        if (const auto found = this->uses.find(upstream); found != this->uses.end()) {
+        auto counts = this->localPool->counts(upstream);
+        if (const auto found = this->remoteUsages.find(upstream); found != this->remoteUsages.end()) {
             counts.busy += found->second.busy;
         }
         return counts;
@@ -198,12 +198,12 @@
 
     [[nodiscard]] auto counts() const -> LinkCounts override
     {
-        return this->own->counts();
+        return this->localPool->counts();
     }
 
 private:
     /// Load recorded for an owner that refused a lease.
-    static constexpr auto fullLoad = std::uint32_t{1'000};
+    static constexpr auto refusedLoad = std::uint32_t{1'000};
 
     struct Channel
     {
@@ -223,18 +223,18 @@
     auto acquireFrom(VmId owner, GroupId group, membership::UpstreamView upstream, interactive::LinkClaim claim, Acquire request)
         -> asio::awaitable<std::optional<LeaseResult>>
     {
-        const auto keep = this->shared_from_this();
+        const auto keepAlive = this->shared_from_this();
         const auto id = upstream.id;
         if (owner == this->self) {
-            co_return co_await this->own->acquire(std::move(group), std::move(upstream), std::move(claim));
+            co_return co_await this->localPool->acquire(std::move(group), std::move(upstream), std::move(claim));
         }
         const auto channel = this->channelTo(owner);
         if (channel == nullptr) {
             co_return std::nullopt;
         }
-        ++this->uses[id].busy;
+        ++this->remoteUsages[id].busy;
         auto result = co_await channel->acquire(std::move(request));
-        auto &use = this->uses[id];
+        auto &use = this->remoteUsages[id];
         if (auto *const link = std::get_if<std::shared_ptr<interactive::UpstreamLink>>(&result.link)) {
             use.loads[owner] = result.load;
             co_return interactive::LinkLease(this->weak_from_this(), id, std::move(*link));
@@ -243,47 +243,47 @@
         if (!result.answered || result.notOwner) {
             co_return std::nullopt;
         }
-        use.loads[owner] = fullLoad;
+        use.loads[owner] = refusedLoad;
         co_return std::get<FailureReply>(std::move(result.link));
     }
 
     /// Applies the view's entry of an owner to its channel. Closes the channel if the owner is gone or has another endpoint.
     /// \return whether the channel can still be used
-    static auto staysWith(const membership::ProxyView *proxy, Channel &channel) -> bool
+    static auto updateChannel(const membership::ProxyView *proxy, Channel &channel) -> bool
     {
         if (proxy == nullptr || proxy->peers != channel.endpoint) {
             channel.channel->close();
             return false;
         }
         if (std::exchange(channel.incarnation, proxy->incarnation) != proxy->incarnation) {
-            channel.channel->startedAnew();
+            channel.channel->ownerRestarted();
         }
         return true;
     }
 
-    /// Sets the limits of members that are in \p former and not in the current view to zero.
-    auto forgetGone(const membership::ClusterView *former) -> void
+    /// Sets the limits of members that are in \p previous and not in the current view to zero.
+    auto clearRemovedMembers(const membership::ClusterView *previous) -> void
     {
-        if (former == nullptr) {
+        if (previous == nullptr) {
             return;
         }
-        for (const auto &group : former->groups) {
+        for (const auto &group : previous->groups) {
             const auto *const present = this->view->findGroup(group.id);
             for (const auto &member : group.members) {
                 if (present == nullptr || present->findMember(member.id) == nullptr) {
-                    this->own->setLimits(member.id, interactive::LinkLimits());
+                    this->localPool->setLimits(member.id, interactive::LinkLimits());
                 }
             }
         }
     }
 
-    static auto accept(std::shared_ptr<OwnersPool> self) -> asio::awaitable<void>
+    static auto accept(std::shared_ptr<ForwardingPoolImpl> self) -> asio::awaitable<void>
     {
         auto pause = asio::steady_timer(self->executor);
         while (self->acceptor.is_open()) {
             auto [error, socket] = co_await self->acceptor.async_accept(awaitTuple);
             if (error) {
-                pause.expires_after(acceptPause);
+                pause.expires_after(acceptBackoff);
                 co_await pause.async_wait(awaitTuple);
                 continue;
             }
@@ -294,11 +294,11 @@
     auto serve(tcp::socket socket) -> void
     {
         auto framed = std::make_shared<FramedConnection>(std::move(socket));
-        const auto connection = std::make_shared<OwnerConnection>(std::move(framed), this->own, this->weak_from_this());
-        this->served.insert(connection);
-        connection->start([weak = this->weak_from_this(), plain = std::weak_ptr(connection)] {
+        const auto connection = std::make_shared<OwnerConnection>(std::move(framed), this->localPool, this->weak_from_this());
+        this->inboundConnections.insert(connection);
+        connection->start([weak = this->weak_from_this(), weakConnection = std::weak_ptr(connection)] {
             if (const auto pool = weak.lock()) {
-                pool->served.erase(plain.lock());
+                pool->inboundConnections.erase(weakConnection.lock());
             }
         });
     }
@@ -306,26 +306,26 @@
     /// \return the upstream, if this proxy may open connections to it
     [[nodiscard]] auto findOwned(const GroupId &group, const UpstreamId &upstream) const -> std::optional<membership::UpstreamView>
     {
-        const auto *const known = this->view == nullptr ? nullptr : this->view->findGroup(group);
-        const auto *const member = known == nullptr ? nullptr : known->findMember(upstream);
-        if (member == nullptr || this->ownership.share(*known, *member).links == 0) {
+        const auto *const groupView = this->view == nullptr ? nullptr : this->view->findGroup(group);
+        const auto *const member = groupView == nullptr ? nullptr : groupView->findMember(upstream);
+        if (member == nullptr || this->ownership.share(*groupView, *member).links == 0) {
             return std::nullopt;
         }
         return *member;
     }
 
     /// \return the owners sorted by reachability, then by load; equal ones stay in the order of \p owners
-    auto orderOf(const std::vector<VmId> &owners, const UpstreamId &upstream) -> std::vector<VmId>
+    auto orderOwners(const std::vector<VmId> &owners, const UpstreamId &upstream) -> std::vector<VmId>
     {
-        auto &loads = this->uses[upstream].loads;
+        auto &loads = this->remoteUsages[upstream].loads;
         const auto rank = [this, &loads](const VmId &owner) {
             const auto channel = owner == this->self ? nullptr : this->channelTo(owner);
-            const auto rests = channel != nullptr && !channel->isWorthAsking();
+            const auto isUnreachable = channel != nullptr && !channel->isReachable();
             // The reported load decays: it is halved each time it is read, so that a stale one loses its effect after a few statements.
             auto &load = loads[owner];
-            const auto present = load;
+            const auto reported = load;
             load /= 2;
-            return std::pair(rests, present);
+            return std::pair(isUnreachable, reported);
         };
         auto ranked = std::vector<std::pair<std::pair<bool, std::uint32_t>, VmId>>();
         for (const auto &owner : owners) {
@@ -357,29 +357,29 @@
 
     auto returned(const UpstreamId &upstream, std::shared_ptr<interactive::UpstreamLink> link, bool clean) -> void override
     {
-        if (const auto found = this->uses.find(upstream); found != this->uses.end() && found->second.busy > 0) {
+        if (const auto found = this->remoteUsages.find(upstream); found != this->remoteUsages.end() && found->second.busy > 0) {
             --found->second.busy;
         }
-        giveBack(*link, clean);
+        releaseRemote(*link, clean);
     }
 
     VmId self;
     Ownership ownership;
-    std::shared_ptr<LinkPool> own;
+    std::shared_ptr<LinkPool> localPool;
     asio::any_io_executor executor;
     tcp::acceptor acceptor;
     std::shared_ptr<const membership::ClusterView> view;
     support::Signal viewSignal;
     std::map<VmId, Channel> channels;
-    std::map<UpstreamId, RemoteUse> uses;
-    std::set<std::shared_ptr<OwnerConnection>> served;
+    std::map<UpstreamId, RemoteUsage> remoteUsages;
+    std::set<std::shared_ptr<OwnerConnection>> inboundConnections;
 };
 
 } // namespace
 
-auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<LinkPool> own, const asio::any_io_executor &executor) -> std::shared_ptr<ForwardingPool>
+auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<LinkPool> localPool, const asio::any_io_executor &executor) -> std::shared_ptr<ForwardingPool>
 {
-    return std::make_shared<OwnersPool>(std::move(self), std::move(zone), std::move(own), executor);
+    return std::make_shared<ForwardingPoolImpl>(std::move(self), std::move(zone), std::move(localPool), executor);
 }
 
 } // namespace sapphirespool::forwarding
--- a/lib/Forwarding/framedconnection.cpp
+++ b/lib/Forwarding/framedconnection.cpp
@@ -21,10 +21,10 @@
 namespace asio = boost::asio;
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
-constexpr auto lengthBytes = std::size_t{4};
-constexpr auto readSize = std::size_t{8 * 1024};
+constexpr auto lengthPrefixBytes = std::size_t{4};
+constexpr auto readBufferBytes = std::size_t{8 * 1024};
 
-auto lengthOf(std::string_view bytes) -> std::size_t
+auto decodeLength(std::string_view bytes) -> std::size_t
 {
     return boost::endian::load_little_u32(reinterpret_cast<const unsigned char *>(bytes.data()));
 }
@@ -41,7 +41,7 @@
 {
     this->received = std::move(onReceived);
     this->closed = std::move(onClosed);
-    asio::co_spawn(this->socket.get_executor(), readAll(this->shared_from_this()), asio::detached);
+    asio::co_spawn(this->socket.get_executor(), readLoop(this->shared_from_this()), asio::detached);
 }
 
 auto FramedConnection::send(const Message &message) -> bool
@@ -50,16 +50,16 @@
         return false;
     }
     const auto bytes = encode(message);
-    auto length = std::array<unsigned char, lengthBytes>();
+    auto length = std::array<unsigned char, lengthPrefixBytes>();
     boost::endian::store_little_u32(length.data(), static_cast<std::uint32_t>(bytes.size()));
     this->outgoing.append(reinterpret_cast<const char *>(length.data()), length.size());
     this->outgoing.append(bytes);
-    if (this->outgoing.size() > longestBacklog) {
+    if (this->outgoing.size() > maxBacklogBytes) {
         this->close();
         return false;
     }
     if (this->writing.empty()) {
-        this->writeMore();
+        this->writePending();
     }
     return true;
 }
@@ -72,8 +72,8 @@
     auto ignored = boost::system::error_code();
     this->socket.close(ignored);
     this->received = nullptr;
-    if (const auto tell = std::exchange(this->closed, nullptr)) {
-        tell();
+    if (const auto notifyClosed = std::exchange(this->closed, nullptr)) {
+        notifyClosed();
     }
 }
 
@@ -87,46 +87,46 @@
     return this->socket.get_executor();
 }
 
-auto FramedConnection::readAll(std::shared_ptr<FramedConnection> self) -> asio::awaitable<void>
+auto FramedConnection::readLoop(std::shared_ptr<FramedConnection> self) -> asio::awaitable<void>
 {
-    auto bytes = std::array<char, readSize>();
+    auto bytes = std::array<char, readBufferBytes>();
     while (self->open) {
         const auto [error, size] = co_await self->socket.async_read_some(asio::buffer(bytes), awaitTuple);
         if (error) {
             break;
         }
         self->incoming.append(bytes.data(), size);
-        if (!self->takeMessages()) {
+        if (!self->dispatchMessages()) {
             break;
         }
     }
     self->close();
 }
 
-auto FramedConnection::takeMessages() -> bool
+auto FramedConnection::dispatchMessages() -> bool
 {
     auto begin = std::size_t{0};
-    while (this->open && this->incoming.size() - begin >= lengthBytes) {
-        const auto rest = std::string_view(this->incoming).substr(begin);
-        const auto length = lengthOf(rest);
-        if (length > longestMessage) {
+    while (this->open && this->incoming.size() - begin >= lengthPrefixBytes) {
+        const auto remaining = std::string_view(this->incoming).substr(begin);
+        const auto length = decodeLength(remaining);
+        if (length > maxMessageBytes) {
             return false;
         }
-        if (rest.size() < lengthBytes + length) {
+        if (remaining.size() < lengthPrefixBytes + length) {
             break;
         }
-        auto message = decode(rest.substr(lengthBytes, length));
+        auto message = decode(remaining.substr(lengthPrefixBytes, length));
         if (!message) {
             return false;
         }
-        begin += lengthBytes + length;
+        begin += lengthPrefixBytes + length;
         this->received(*std::move(message));
     }
     this->incoming.erase(0, begin);
     return true;
 }
 
-auto FramedConnection::writeMore() -> void
+auto FramedConnection::writePending() -> void
 {
     this->writing = std::exchange(this->outgoing, {});
     asio::async_write(this->socket, asio::buffer(this->writing), [self = this->shared_from_this()](const boost::system::error_code &error, std::size_t) {
@@ -134,7 +134,7 @@
         if (error) {
             self->close();
         } else if (!self->outgoing.empty()) {
-            self->writeMore();
+            self->writePending();
         }
     });
 }
--- a/lib/Forwarding/framedconnection.h
+++ b/lib/Forwarding/framedconnection.h
@@ -18,9 +18,9 @@
 {
 public:
     /// Maximum size of a message: the protocol of callers limits a statement and its rows to 1 MiB each.
-    static constexpr auto longestMessage = std::size_t{4 * 1024 * 1024};
+    static constexpr auto maxMessageBytes = std::size_t{4 * 1024 * 1024};
     /// Maximum number of bytes buffered for the peer: a few seconds on a slow network path.
-    static constexpr auto longestBacklog = std::size_t{8 * 1024 * 1024};
+    static constexpr auto maxBacklogBytes = std::size_t{8 * 1024 * 1024};
 
     explicit FramedConnection(boost::asio::ip::tcp::socket socket);
 
@@ -38,9 +38,9 @@
     [[nodiscard]] auto executor() -> boost::asio::any_io_executor;
 
 private:
-    static auto readAll(std::shared_ptr<FramedConnection> self) -> boost::asio::awaitable<void>;
-    auto takeMessages() -> bool;
-    auto writeMore() -> void;
+    static auto readLoop(std::shared_ptr<FramedConnection> self) -> boost::asio::awaitable<void>;
+    auto dispatchMessages() -> bool;
+    auto writePending() -> void;
 
     boost::asio::ip::tcp::socket socket;
     std::function<void(Message)> received;
--- a/lib/Forwarding/ownerchannel.cpp
+++ b/lib/Forwarding/ownerchannel.cpp
@@ -23,37 +23,37 @@
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
 /// A round trip between availability zones takes some milliseconds; a proxy that accepts no connection in this time is down or cut off.
-constexpr auto connectLimit = std::chrono::milliseconds(400);
+constexpr auto connectTimeout = std::chrono::milliseconds(400);
 /// Time that an answer may take beyond the owner's own time limit: the round trip, and scheduling delays of a busy processor.
-constexpr auto answerSlack = std::chrono::milliseconds(250);
+constexpr auto answerMargin = std::chrono::milliseconds(250);
 /// An owner that has sent nothing for this long while a request is pending is pinged. Owners answer the statements of many proxies, which
 /// take some tens of milliseconds; at most one ping per interval makes the cost of an idle owner negligible.
-constexpr auto quietTime = std::chrono::milliseconds(100);
+constexpr auto pingInterval = std::chrono::milliseconds(100);
 /// Time limit of a probe. No statement waits for a probe, and an owner that is short of processor time answers late but can still serve.
-constexpr auto lookLimit = std::chrono::milliseconds(1'000);
+constexpr auto probeTimeout = std::chrono::milliseconds(1'000);
 /// A responsive owner answers a ping within the round trip and one scheduling delay of a busy processor.
-constexpr auto pongLimit = std::chrono::milliseconds(150);
+constexpr auto pongTimeout = std::chrono::milliseconds(150);
 
 auto busy(std::string detail) -> interactive::FailureReply
 {
-    constexpr auto comeBack = std::chrono::milliseconds(100);
-    return {interactive::Failure::Busy, std::move(detail), comeBack};
+    constexpr auto retryAfter = std::chrono::milliseconds(100);
+    return {interactive::Failure::Busy, std::move(detail), retryAfter};
 }
 
 /// A connection to an upstream that another proxy holds and this one leases.
-class RemoteLink : public interactive::UpstreamLink
+class RemoteConnection : public interactive::UpstreamLink
 {
 public:
-    RemoteLink(std::shared_ptr<OwnerChannel> channel, std::uint64_t lease)
+    RemoteConnection(std::shared_ptr<OwnerChannel> channel, std::uint64_t lease)
         : channel(std::move(channel))
         , lease(lease)
         , generation(this->channel->generation())
     {
     }
 
-    ~RemoteLink() override
+    ~RemoteConnection() override
     {
-        this->give(false);
+        this->release(false);
     }
 
     auto exchange(std::span<const interactive::Command> commands, Duration limit) -> asio::awaitable<interactive::ExchangeResult> override
@@ -75,18 +75,18 @@
 
     auto close() -> void override
     {
-        this->give(false);
+        this->release(false);
     }
 
     [[nodiscard]] auto isUsable() const -> bool override
     {
-        return !this->given && !this->broken && this->channel->generation() == this->generation;
+        return !this->released && !this->broken && this->channel->generation() == this->generation;
     }
 
     /// Releases the lease at the owner.
-    auto give(bool clean) -> void
+    auto release(bool clean) -> void
     {
-        if (!std::exchange(this->given, true) && this->channel->generation() == this->generation) {
+        if (!std::exchange(this->released, true) && this->channel->generation() == this->generation) {
             this->channel->release(this->lease, Release{clean && !this->broken, clean ? this->state : interactive::LinkState()});
         }
     }
@@ -96,15 +96,15 @@
     std::uint64_t lease;
     std::uint64_t generation;
     bool broken = false;
-    bool given = false;
+    bool released = false;
 };
 
 } // namespace
 
-auto giveBack(interactive::UpstreamLink &link, bool clean) -> void
+auto releaseRemote(interactive::UpstreamLink &link, bool clean) -> void
 {
-    if (auto *const remote = dynamic_cast<RemoteLink *>(&link)) {
-        remote->give(clean);
+    if (auto *const remote = dynamic_cast<RemoteConnection *>(&link)) {
+        remote->release(clean);
     }
 }
 
@@ -122,15 +122,15 @@
     if (this->presence.isGivenUp(support::now())) {
         co_return result;
     }
-    const auto connected = co_await this->connect(connectLimit);
+    const auto connected = co_await this->connect(connectTimeout);
     if (!connected) {
         co_return result;
     }
-    const auto limit = std::max<Duration>(request.patience, request.connectLimit) + answerSlack;
+    const auto limit = std::max<Duration>(request.patience, request.connectLimit) + answerMargin;
     const auto lease = ++this->lastLease;
     const auto generation = this->generation();
     auto message = Message{lease, std::move(request)};
-    auto answer = co_await this->ask(std::move(message), limit, Silence::GivesUp);
+    auto answer = co_await this->sendRequest(std::move(message), limit, UnresponsivePolicy::Abandon);
     if (!answer) {
         if (generation == this->generation()) {
             this->release(lease, Release());
@@ -145,7 +145,7 @@
         co_return result;
     }
     if (auto *const acquired = std::get_if<Acquired>(&answer->body)) {
-        const auto link = std::make_shared<RemoteLink>(self, lease);
+        const auto link = std::make_shared<RemoteConnection>(self, lease);
         link->state = std::move(acquired->state);
         result.load = acquired->load;
         result.link = std::static_pointer_cast<interactive::UpstreamLink>(link);
@@ -156,12 +156,12 @@
 auto OwnerChannel::exchange(std::uint64_t lease, Exchange request) -> asio::awaitable<interactive::ExchangeResult>
 {
     const auto self = this->shared_from_this();
-    const auto limit = request.limit + answerSlack;
-    const auto lasts = std::any_of(request.commands.begin(), request.commands.end(), [](const interactive::Command &command) {
+    const auto limit = request.limit + answerMargin;
+    const auto hasLastingEffect = std::any_of(request.commands.begin(), request.commands.end(), [](const interactive::Command &command) {
         return command.lasting;
     });
     auto message = Message{lease, std::move(request)};
-    auto answer = co_await this->ask(std::move(message), limit, lasts ? Silence::IsEndured : Silence::GivesUp);
+    auto answer = co_await this->sendRequest(std::move(message), limit, hasLastingEffect ? UnresponsivePolicy::KeepWaiting : UnresponsivePolicy::Abandon);
     if (answer) {
         if (auto *const exchanged = std::get_if<Exchanged>(&answer->body)) {
             co_return std::move(exchanged->result);
@@ -180,21 +180,21 @@
     if (this->presence.isGivenUp(support::now())) {
         co_return std::nullopt;
     }
-    const auto connected = co_await this->connect(connectLimit);
+    const auto connected = co_await this->connect(connectTimeout);
     if (!connected) {
         co_return std::nullopt;
     }
-    const auto asked = support::now();
-    const auto limit = request.limit + answerSlack;
+    const auto sentAt = support::now();
+    const auto limit = request.limit + answerMargin;
     auto message = Message{++this->lastLease, std::move(request)};
-    const auto answer = co_await this->ask(std::move(message), limit, Silence::GivesUp);
+    const auto answer = co_await this->sendRequest(std::move(message), limit, UnresponsivePolicy::Abandon);
     const auto *const proved = answer ? std::get_if<Proved>(&answer->body) : nullptr;
     if (proved == nullptr || !proved->position) {
         co_return std::nullopt;
     }
     // The owner measured the age after it received the request. Subtracted from the time of the request, the age makes the proof appear
     // slightly older than it is, which is the safe direction.
-    co_return interactive::PositionProof{asked - proved->age, *proved->position};
+    co_return interactive::PositionProof{sentAt - proved->age, *proved->position};
 }
 
 auto OwnerChannel::release(std::uint64_t lease, Release request) -> void
@@ -212,14 +212,14 @@
     }
 }
 
-auto OwnerChannel::isWorthAsking() const -> bool
+auto OwnerChannel::isReachable() const -> bool
 {
     return this->presence.isPresent();
 }
 
-auto OwnerChannel::startedAnew() -> void
+auto OwnerChannel::ownerRestarted() -> void
 {
-    this->noteBack();
+    this->noteReachable();
 }
 
 auto OwnerChannel::generation() const -> std::uint64_t
@@ -277,8 +277,8 @@
 
 auto OwnerChannel::received(Message message) -> void
 {
-    this->heardAt = support::now();
-    this->noteBack();
+    this->lastContactAt = support::now();
+    this->noteReachable();
     const auto found = this->waiters.find(message.lease);
     if (found == this->waiters.end()) {
         return;
@@ -298,39 +298,39 @@
 auto OwnerChannel::noteFailure() -> void
 {
     const auto now = support::now();
-    if (this->presence.failed(now) && this->lines.tryTake(now)) {
-        support::log(support::Event::OwnerAway, {{"owner", this->endpoint.address}, {"silent_ms", now - this->heardAt}});
+    if (this->presence.failed(now) && this->logBudget.tryTake(now)) {
+        support::log(support::Event::OwnerAway, {{"owner", this->endpoint.address}, {"silent_ms", now - this->lastContactAt}});
     }
-    if (!std::exchange(this->looking, true)) {
-        asio::co_spawn(this->executor, lookForOwner(this->shared_from_this()), asio::detached);
+    if (!std::exchange(this->probing, true)) {
+        asio::co_spawn(this->executor, probeUntilReachable(this->shared_from_this()), asio::detached);
     }
 }
 
-auto OwnerChannel::noteBack() -> void
+auto OwnerChannel::noteReachable() -> void
 {
     const auto now = support::now();
-    if (this->presence.answered() && this->lines.tryTake(now)) {
+    if (this->presence.answered() && this->logBudget.tryTake(now)) {
         support::log(support::Event::OwnerBack, {{"owner", this->endpoint.address}, {"away_ms", now - this->presence.missedSince()}});
     }
 }
 
-auto OwnerChannel::lookForOwner(std::shared_ptr<OwnerChannel> self) -> asio::awaitable<void>
+auto OwnerChannel::probeUntilReachable(std::shared_ptr<OwnerChannel> self) -> asio::awaitable<void>
 {
     auto pause = asio::steady_timer(self->executor);
     while (!self->presence.isPresent() && !self->closed) {
         pause.expires_after(self->presence.nextPause());
         co_await pause.async_wait(awaitTuple);
         if (!self->presence.isPresent() && !self->closed) {
-            co_await self->look();
+            co_await self->probe();
         }
     }
-    self->looking = false;
+    self->probing = false;
 }
 
-auto OwnerChannel::look() -> asio::awaitable<void>
+auto OwnerChannel::probe() -> asio::awaitable<void>
 {
     const auto hadConnection = this->connection != nullptr;
-    const auto connected = co_await this->connect(connectLimit);
+    const auto connected = co_await this->connect(connectTimeout);
     if (!connected) {
         co_return;
     }
@@ -341,31 +341,31 @@
     // After a network partition TCP retransmits on the old connection only after seconds. The connection is closed only if the owner answers
     // on a new one: leases of idle transactions depend on it, and an owner that is merely slow still holds them.
     const auto fresh = std::make_shared<OwnerChannel>(this->executor, this->endpoint);
-    const auto reached = co_await fresh->connect(connectLimit);
-    const auto isThere = reached && co_await fresh->answersPing();
+    const auto reached = co_await fresh->connect(connectTimeout);
+    const auto isResponsive = reached && co_await fresh->answersPing();
     fresh->close();
-    if (isThere && !this->presence.isPresent() && this->connection != nullptr) {
+    if (isResponsive && !this->presence.isPresent() && this->connection != nullptr) {
         this->connection->close();
-        this->noteBack();
+        this->noteReachable();
     }
 }
 
 auto OwnerChannel::answersPing() -> asio::awaitable<bool>
 {
     // A frozen VM still accepts connections, so only an answer counts.
-    auto question = Message{++this->lastLease, Ping()};
-    const auto answer = co_await this->ask(std::move(question), lookLimit, Silence::IsEndured);
+    auto ping = Message{++this->lastLease, Ping()};
+    const auto answer = co_await this->sendRequest(std::move(ping), probeTimeout, UnresponsivePolicy::KeepWaiting);
     co_return answer.has_value();
 }
 
-auto OwnerChannel::ask(Message message, Duration limit, Silence silence) -> asio::awaitable<std::optional<Message>>
+auto OwnerChannel::sendRequest(Message message, Duration limit, UnresponsivePolicy onUnresponsive) -> asio::awaitable<std::optional<Message>>
 {
     const auto waiter = std::make_shared<Waiter>(this->executor);
     const auto lease = message.lease;
     this->waiters.insert_or_assign(lease, waiter);
     if (this->connection != nullptr && this->connection->send(message)) {
-        if (silence == Silence::GivesUp) {
-            co_await this->awaitSignOfLife(waiter, limit);
+        if (onUnresponsive == UnresponsivePolicy::Abandon) {
+            co_await this->awaitWithPings(waiter, limit);
         } else {
             waiter->timer.expires_after(limit);
             co_await waiter->timer.async_wait(awaitTuple);
@@ -375,26 +375,26 @@
     co_return std::move(waiter->answer);
 }
 
-auto OwnerChannel::awaitSignOfLife(std::shared_ptr<Waiter> waiter, Duration limit) -> asio::awaitable<void>
+auto OwnerChannel::awaitWithPings(std::shared_ptr<Waiter> waiter, Duration limit) -> asio::awaitable<void>
 {
     // A VM that freezes, or is cut off without a reset, leaves its connections open. Without pings a statement would wait until its time
     // limit, and so would each one after it, although other owners could serve them.
     const auto self = this->shared_from_this();
     const auto at = this->generation();
-    const auto until = support::now() + limit;
-    while (this->isPending(*waiter, at) && support::now() < until) {
-        const auto left = until - support::now();
-        waiter->timer.expires_after(std::min<Duration>(quietTime, left));
+    const auto deadline = support::now() + limit;
+    while (this->isPending(*waiter, at) && support::now() < deadline) {
+        const auto left = deadline - support::now();
+        waiter->timer.expires_after(std::min<Duration>(pingInterval, left));
         co_await waiter->timer.async_wait(awaitTuple);
-        const auto isQuiet = support::now() - this->heardAt >= quietTime;
-        if (!isQuiet || !this->isPending(*waiter, at)) {
+        const auto isSilent = support::now() - this->lastContactAt >= pingInterval;
+        if (!isSilent || !this->isPending(*waiter, at)) {
             continue;
         }
-        const auto asked = support::now();
+        const auto sentAt = support::now();
         this->connection->send(Message{0, Ping()});
-        waiter->timer.expires_after(pongLimit);
+        waiter->timer.expires_after(pongTimeout);
         co_await waiter->timer.async_wait(awaitTuple);
-        if (this->isPending(*waiter, at) && this->heardAt < asked) {
+        if (this->isPending(*waiter, at) && this->lastContactAt < sentAt) {
             this->noteFailure();
             co_return;
         }
--- a/lib/Forwarding/ownerchannel.h
+++ b/lib/Forwarding/ownerchannel.h
@@ -24,7 +24,7 @@
 
 /// Releases a connection that is leased from another proxy; does nothing for other connections.
 /// \param clean whether the owner may reuse the connection; otherwise it closes it
-auto giveBack(interactive::UpstreamLink &link, bool clean) -> void;
+auto releaseRemote(interactive::UpstreamLink &link, bool clean) -> void;
 
 /// Leases connections from one owner and runs commands on them. Connects on first use, and again after a failure. An owner that failed is
 /// probed in the background until it answers.
@@ -57,21 +57,21 @@
     auto close() -> void;
 
     /// \return whether the owner has not failed since the last contact
-    [[nodiscard]] auto isWorthAsking() const -> bool;
+    [[nodiscard]] auto isReachable() const -> bool;
 
     /// Clears the recorded failure of the owner, which has restarted since.
-    auto startedAnew() -> void;
+    auto ownerRestarted() -> void;
 
     /// \return the number of the current connection, or 0 while there is none; leases do not outlive their connection
     [[nodiscard]] auto generation() const -> std::uint64_t;
 
 private:
     /// How a request treats an owner that becomes unresponsive.
-    enum class Silence {
+    enum class UnresponsivePolicy {
         /// Abandons the request: nothing was run, or the effects of what was run do not last.
-        GivesUp,
+        Abandon,
         /// Waits for the answer until the time limit, since without it the outcome is in doubt for the caller.
-        IsEndured,
+        KeepWaiting,
     };
 
     /// A pending request whose coroutine waits for the answer.
@@ -92,24 +92,24 @@
     auto received(Message message) -> void;
     auto ended() -> void;
     auto noteFailure() -> void;
-    auto noteBack() -> void;
+    auto noteReachable() -> void;
     /// Probes an owner that failed until it answers, with increasing pauses.
-    static auto lookForOwner(std::shared_ptr<OwnerChannel> self) -> boost::asio::awaitable<void>;
+    static auto probeUntilReachable(std::shared_ptr<OwnerChannel> self) -> boost::asio::awaitable<void>;
     /// Connects if necessary, and pings the owner.
-    auto look() -> boost::asio::awaitable<void>;
+    auto probe() -> boost::asio::awaitable<void>;
     auto answersPing() -> boost::asio::awaitable<bool>;
     /// Sends \p message and waits for its answer.
     /// \param silence what to do if the owner becomes unresponsive
     /// \return the answer, or nothing if none arrived in time
-    auto ask(Message message, Duration limit, Silence silence) -> boost::asio::awaitable<std::optional<Message>>;
+    auto sendRequest(Message message, Duration limit, UnresponsivePolicy onUnresponsive) -> boost::asio::awaitable<std::optional<Message>>;
     /// Waits until \p waiter has its answer, \p limit has passed, the connection ends, or the owner fails to answer a ping.
-    auto awaitSignOfLife(std::shared_ptr<Waiter> waiter, Duration limit) -> boost::asio::awaitable<void>;
+    auto awaitWithPings(std::shared_ptr<Waiter> waiter, Duration limit) -> boost::asio::awaitable<void>;
     [[nodiscard]] auto isPending(const Waiter &waiter, std::uint64_t atGeneration) const -> bool;
 
     boost::asio::any_io_executor executor;
     Endpoint endpoint;
     /// Time of the last message from the owner.
-    TimePoint heardAt{};
+    TimePoint lastContactAt{};
     std::shared_ptr<FramedConnection> connection;
     std::uint64_t connectionNumber = 0;
     std::uint64_t lastLease = 0;
@@ -118,9 +118,9 @@
     std::shared_ptr<boost::asio::steady_timer> connecting;
     support::Presence presence;
     /// Limits the log lines on an owner that keeps failing and recovering.
-    support::LogBudget lines{1.0};
+    support::LogBudget logBudget{1.0};
     /// Whether the background probe is running.
-    bool looking = false;
+    bool probing = false;
     bool closed = false;
 };
 
--- a/lib/Forwarding/ownerserver.cpp
+++ b/lib/Forwarding/ownerserver.cpp
@@ -21,7 +21,7 @@
 
 /// How long a request waits for a view that makes this proxy an owner. A new revision of the view reaches all proxies within some tenths of a
 /// second. An owner that takes longer is cut off from the control group, and the requesting proxy should try the next owner.
-constexpr auto viewPatience = std::chrono::milliseconds(250);
+constexpr auto viewWaitLimit = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -30,9 +30,9 @@
 public:
     std::map<std::uint64_t, interactive::LinkLease> held;
     /// Leases that were released before they were granted, or while an exchange was running on them.
-    std::set<std::uint64_t> unwanted;
+    std::set<std::uint64_t> releasedEarly;
     /// Leases on which an exchange is running; their release takes effect when it ends.
-    std::set<std::uint64_t> running;
+    std::set<std::uint64_t> exchanging;
 };
 
 OwnerConnection::OwnerConnection(std::shared_ptr<FramedConnection> connection, std::shared_ptr<interactive::LinkPool> pool, std::weak_ptr<OwnedUpstreams> owned)
@@ -84,7 +84,7 @@
 
 auto OwnerConnection::acquire(std::shared_ptr<OwnerConnection> self, std::uint64_t lease, Acquire request) -> asio::awaitable<void>
 {
-    auto upstream = co_await self->findOwned(request.group, request.upstream, std::min<Duration>(viewPatience, request.patience));
+    auto upstream = co_await self->findOwned(request.group, request.upstream, std::min<Duration>(viewWaitLimit, request.patience));
     if (!upstream) {
         auto why = interactive::FailureReply{interactive::Failure::Busy, "the owner does not know upstream " + request.upstream.value(), {}};
         self->refuse(lease, Refused{std::move(why), true});
@@ -102,7 +102,7 @@
         co_return;
     }
     auto held = std::get<interactive::LinkLease>(std::move(result));
-    if (!self->connection->isOpen() || self->leases->unwanted.erase(lease) > 0) {
+    if (!self->connection->isOpen() || self->leases->releasedEarly.erase(lease) > 0) {
         held.giveBack();
         co_return;
     }
@@ -125,11 +125,11 @@
     // The lease is taken out of the map while the exchange runs: the connection may end meanwhile, which clears the map.
     auto held = std::move(found->second);
     self->leases->held.erase(found);
-    self->leases->running.insert(lease);
+    self->leases->exchanging.insert(lease);
     result = co_await held.link().exchange(request.commands, request.limit);
-    self->leases->running.erase(lease);
-    const auto unwanted = self->leases->unwanted.erase(lease) > 0;
-    if (self->connection->isOpen() && !unwanted) {
+    self->leases->exchanging.erase(lease);
+    const auto releasedEarly = self->leases->releasedEarly.erase(lease) > 0;
+    if (self->connection->isOpen() && !releasedEarly) {
         self->leases->held.insert_or_assign(lease, std::move(held));
         self->connection->send(answer);
     }
@@ -139,7 +139,7 @@
 {
     const auto found = this->leases->held.find(lease);
     if (found == this->leases->held.end()) {
-        this->leases->unwanted.insert(lease);
+        this->leases->releasedEarly.insert(lease);
         return;
     }
     auto held = std::move(found->second);
@@ -176,7 +176,7 @@
 
 auto OwnerConnection::refuse(std::uint64_t lease, Refused refused) -> void
 {
-    if (this->leases->unwanted.erase(lease) == 0) {
+    if (this->leases->releasedEarly.erase(lease) == 0) {
         this->connection->send(Message{lease, std::move(refused)});
     }
 }
--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -31,10 +31,10 @@
 constexpr auto proxyCount = 12;
 
 /// Connects one proxy to the upstreams, unless the test makes them unreachable for it.
-class CutConnector : public interactive::LinkConnector
+class BlockableConnector : public interactive::LinkConnector
 {
 public:
-    explicit CutConnector(std::shared_ptr<interactive::LinkConnector> inner)
+    explicit BlockableConnector(std::shared_ptr<interactive::LinkConnector> inner)
         : inner(std::move(inner))
     {
     }
@@ -42,8 +42,8 @@
     auto connect(GroupId group, membership::UpstreamView upstream, Duration limit) -> asio::awaitable<interactive::ConnectResult> override
     {
         if (!this->reachable) {
-            auto why = FailureReply{interactive::Failure::Unreachable, "cut off", {}};
-            co_return why;
+            auto refusal = FailureReply{interactive::Failure::Unreachable, "cut off", {}};
+            co_return refusal;
         }
         co_return co_await this->inner->connect(std::move(group), std::move(upstream), limit);
     }
@@ -69,9 +69,9 @@
         this->view->groups.front().connectionLimit = 11;
         for (auto number = 0; number < proxyCount; ++number) {
             const auto vm = VmId("vm-" + std::to_string(10 + number));
-            this->cut.push_back(std::make_shared<CutConnector>(this->databases.connector()));
-            const auto own = interactive::makeLinkPool(this->cut.back(), this->io.get_executor());
-            this->pools.push_back(makeForwardingPool(vm, ZoneId("zone-a"), own, this->io.get_executor()));
+            this->connectors.push_back(std::make_shared<BlockableConnector>(this->databases.connector()));
+            const auto localPool = interactive::makeLinkPool(this->connectors.back(), this->io.get_executor());
+            this->pools.push_back(makeForwardingPool(vm, ZoneId("zone-a"), localPool, this->io.get_executor()));
             auto proxy = membership::ProxyView();
             proxy.id = vm;
             proxy.zone = ZoneId("zone-a");
@@ -102,9 +102,9 @@
     auto operator=(const Fleet &) -> Fleet & = delete;
 
     /// Makes the upstreams unreachable for \p proxy.
-    auto cutOff(std::size_t proxy) -> void
+    auto blockUpstreams(std::size_t proxy) -> void
     {
-        this->cut.at(proxy)->reachable = false;
+        this->connectors.at(proxy)->reachable = false;
     }
 
     auto run(std::chrono::milliseconds time) -> void
@@ -125,13 +125,13 @@
     auto beginAcquire(std::size_t proxy, Duration patience) -> PendingLease
     {
         auto result = std::make_shared<std::optional<LeaseResult>>();
-        asio::co_spawn(this->io, take(this->pools[proxy], this->view, patience, result), asio::detached);
+        asio::co_spawn(this->io, acquireLease(this->pools[proxy], this->view, patience, result), asio::detached);
         return result;
     }
 
     auto finish(const PendingLease &result) -> std::optional<FailureReply>
     {
-        for (auto look = 0; look < 300 && !result->has_value(); ++look) {
+        for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(10ms);
         }
         REQUIRE(result->has_value());
@@ -146,8 +146,8 @@
     {
         using Proof = std::optional<interactive::PositionProof>;
         auto result = std::make_shared<std::optional<Proof>>();
-        asio::co_spawn(this->io, ask(this->pools[proxy], this->view, oldest, result), asio::detached);
-        for (auto look = 0; look < 300 && !result->has_value(); ++look) {
+        asio::co_spawn(this->io, requestProof(this->pools[proxy], this->view, oldest, result), asio::detached);
+        for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(2ms);
         }
         REQUIRE(result->has_value());
@@ -157,15 +157,15 @@
     auto exchange(interactive::LinkLease &lease, std::string text) -> interactive::ExchangeResult
     {
         auto result = std::make_shared<std::optional<interactive::ExchangeResult>>();
-        asio::co_spawn(this->io, send(lease, std::move(text), result), asio::detached);
-        for (auto look = 0; look < 300 && !result->has_value(); ++look) {
+        asio::co_spawn(this->io, runStatement(lease, std::move(text), result), asio::detached);
+        for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(10ms);
         }
         return result->value();
     }
 
     /// \return a proxy that forwards its statements for the first upstream to owners
-    [[nodiscard]] auto proxyWithoutLinks() const -> std::size_t
+    [[nodiscard]] auto proxyWithoutConnections() const -> std::size_t
     {
         for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
             auto ownership = Ownership(this->view->proxies[proxy].id, ZoneId("zone-a"));
@@ -220,11 +220,11 @@
 
     [[nodiscard]] auto poolOf(const VmId &vm) const -> ForwardingPool &
     {
-        std::size_t place = 0;
-        while (this->view->proxies.at(place).id != vm) {
-            ++place;
+        std::size_t index = 0;
+        while (this->view->proxies.at(index).id != vm) {
+            ++index;
         }
-        return *this->pools.at(place);
+        return *this->pools.at(index);
     }
 
     /// \return the owners in the order of preference of \p proxy
@@ -256,15 +256,15 @@
     interactive::FakeDatabases databases;
     asio::io_context io;
     std::shared_ptr<membership::ClusterView> view;
-    std::vector<std::shared_ptr<CutConnector>> cut;
+    std::vector<std::shared_ptr<BlockableConnector>> connectors;
     std::vector<std::shared_ptr<ForwardingPool>> pools;
     std::vector<interactive::LinkLease> leases;
 
 private:
-    static auto take(std::shared_ptr<ForwardingPool> pool,
-                     std::shared_ptr<membership::ClusterView> view,
-                     Duration patience,
-                     std::shared_ptr<std::optional<LeaseResult>> result) -> asio::awaitable<void>
+    static auto acquireLease(std::shared_ptr<ForwardingPool> pool,
+                             std::shared_ptr<membership::ClusterView> view,
+                             Duration patience,
+                             std::shared_ptr<std::optional<LeaseResult>> result) -> asio::awaitable<void>
     {
         const auto &group = view->groups.front();
         auto claim = interactive::LinkClaim();
@@ -273,16 +273,16 @@
         *result = co_await pool->acquire(group.id, group.members.front(), std::move(claim));
     }
 
-    static auto ask(std::shared_ptr<ForwardingPool> pool,
-                    std::shared_ptr<membership::ClusterView> view,
-                    Duration oldest,
-                    std::shared_ptr<std::optional<std::optional<interactive::PositionProof>>> result) -> asio::awaitable<void>
+    static auto requestProof(std::shared_ptr<ForwardingPool> pool,
+                             std::shared_ptr<membership::ClusterView> view,
+                             Duration oldest,
+                             std::shared_ptr<std::optional<std::optional<interactive::PositionProof>>> result) -> asio::awaitable<void>
     {
         const auto &group = view->groups.front();
         *result = co_await pool->prove(group.id, group.members.front(), oldest, 100ms);
     }
 
-    static auto send(interactive::LinkLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
+    static auto runStatement(interactive::LinkLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
         -> asio::awaitable<void>
     {
         auto command = interactive::Command();
@@ -301,8 +301,8 @@
         : fleet(fleet)
     {
         for (const auto &owner : fleet.ownersFor(proxy)) {
-            const auto own = interactive::makeLinkPool(fleet.databases.connector(), this->io.get_executor());
-            this->pools.push_back(makeForwardingPool(owner, ZoneId("zone-a"), own, this->io.get_executor()));
+            const auto localPool = interactive::makeLinkPool(fleet.databases.connector(), this->io.get_executor());
+            this->pools.push_back(makeForwardingPool(owner, ZoneId("zone-a"), localPool, this->io.get_executor()));
             for (auto &member : fleet.view->proxies) {
                 if (member.id == owner) {
                     member.peers = this->pools.back()->listen({"127.0.0.1", 0});
@@ -427,7 +427,7 @@
     // Load pattern: a network partition between a proxy and some owners lasts for seconds. If statements were used to detect that an owner is
     // reachable again, one in five would wait for it.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
 
     SECTION("while others answer")
     {
@@ -450,7 +450,7 @@
     // Failure: owners that are short of processor time send nothing for most of a second. If a proxy closed its connections to them, all
     // transactions that are idle there would be rolled back, and their callers would retry when the load is highest.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto owners = StallingOwners(fleet, proxy);
     const auto first = fleet.beginAcquire(proxy, 500ms);
     owners.runWithFleet(50ms);
@@ -466,7 +466,7 @@
 {
     // Failure: without probes of unreachable owners, their share of the connections would stay idle for good.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto owners = StallingOwners(fleet, proxy);
     REQUIRE(fleet.acquire(proxy));
     fleet.run(1500ms);
@@ -490,10 +490,10 @@
     auto ownership = Ownership(VmId("vm-10"), ZoneId("zone-a"));
     ownership.viewChanged(*fleet.view);
     const auto &group = fleet.view->groups.front();
-    const auto cutOff = ownership.ownersOf(group, group.members.front()).front();
+    const auto blockUpstreams = ownership.ownersOf(group, group.members.front()).front();
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
-        if (fleet.view->proxies[proxy].id == cutOff) {
-            fleet.cutOff(proxy);
+        if (fleet.view->proxies[proxy].id == blockUpstreams) {
+            fleet.blockUpstreams(proxy);
         }
     }
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
@@ -507,7 +507,7 @@
 {
     // After a power loss a proxy that has a view sends a request to an owner that has none yet. The caller must not be refused for that.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
     owner.viewChanged(std::make_shared<const membership::ClusterView>());
     const auto pending = fleet.beginAcquire(proxy, 500ms);
@@ -522,7 +522,7 @@
 {
     // An owner that is cut off from the control group has no view with a new upstream; two other owners serve it.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
     owner.viewChanged(std::make_shared<const membership::ClusterView>());
     const auto began = std::chrono::steady_clock::now();
