--- a/lib/Forwarding/forwardingpool.cpp
+++ b/lib/Forwarding/forwardingpool.cpp
@@ -92,8 +92,8 @@
         for (const auto &[vm, channel] : this->channels) {
             channel.channel->close();
         }
-        const auto present = std::vector<std::shared_ptr<OwnerConnection>>(this->inboundConnections.begin(), this->inboundConnections.end());
-        for (const auto &connection : present) {
+        const auto openConnections = std::vector<std::shared_ptr<OwnerConnection>>(this->inboundConnections.begin(), this->inboundConnections.end());
+        for (const auto &connection : openConnections) {
             connection->close();
         }
     }
@@ -234,17 +234,17 @@
         }
         ++this->remoteUsages[id].busy;
         auto result = co_await channel->acquire(std::move(request));
-        auto &use = this->remoteUsages[id];
-        if (auto *const link = std::get_if<std::shared_ptr<interactive::UpstreamLink>>(&result.link)) {
-            use.loads[owner] = result.load;
-            co_return interactive::LinkLease(this->weak_from_this(), id, std::move(*link));
+        auto &usage = this->remoteUsages[id];
+        if (auto *const connection = std::get_if<std::shared_ptr<interactive::UpstreamLink>>(&result.connection)) {
+            usage.loads[owner] = result.load;
+            co_return interactive::LinkLease(this->weak_from_this(), id, std::move(*connection));
         }
-        --use.busy;
+        --usage.busy;
         if (!result.answered || result.notOwner) {
             co_return std::nullopt;
         }
-        use.loads[owner] = refusedLoad;
-        co_return std::get<FailureReply>(std::move(result.link));
+        usage.loads[owner] = refusedLoad;
+        co_return std::get<FailureReply>(std::move(result.connection));
     }
 
     /// Applies the view's entry of an owner to its channel. Closes the channel if the owner is gone or has another endpoint.
--- a/lib/Forwarding/ownerchannel.cpp
+++ b/lib/Forwarding/ownerchannel.cpp
@@ -34,7 +34,7 @@
 /// A responsive owner answers a ping within the round trip and one scheduling delay of a busy processor.
 constexpr auto pongTimeout = std::chrono::milliseconds(150);
 
-auto busy(std::string detail) -> interactive::FailureReply
+auto busyReply(std::string detail) -> interactive::FailureReply
 {
     constexpr auto retryAfter = std::chrono::milliseconds(100);
     return {interactive::Failure::Busy, std::move(detail), retryAfter};
@@ -118,7 +118,7 @@
 {
     const auto self = this->shared_from_this();
     auto result = AcquireResult();
-    result.link = busy("the proxy that owns the connections does not answer");
+    result.connection = busyReply("the proxy that owns the connections does not answer");
     if (this->presence.isGivenUp(support::now())) {
         co_return result;
     }
@@ -140,15 +140,15 @@
     }
     result.answered = true;
     if (auto *const refused = std::get_if<Refused>(&answer->body)) {
-        result.link = std::move(refused->why);
+        result.connection = std::move(refused->why);
         result.notOwner = refused->notOwner;
         co_return result;
     }
     if (auto *const acquired = std::get_if<Acquired>(&answer->body)) {
-        const auto link = std::make_shared<RemoteConnection>(self, lease);
-        link->state = std::move(acquired->state);
+        const auto remote = std::make_shared<RemoteConnection>(self, lease);
+        remote->state = std::move(acquired->state);
         result.load = acquired->load;
-        result.link = std::static_pointer_cast<interactive::UpstreamLink>(link);
+        result.connection = std::static_pointer_cast<interactive::UpstreamLink>(remote);
     }
     co_return result;
 }
--- a/lib/Forwarding/ownerchannel.h
+++ b/lib/Forwarding/ownerchannel.h
@@ -34,7 +34,7 @@
     /// A connection, or the reason why there is none, with the owner's load at the upstream.
     struct AcquireResult
     {
-        std::variant<std::shared_ptr<interactive::UpstreamLink>, interactive::FailureReply> link;
+        std::variant<std::shared_ptr<interactive::UpstreamLink>, interactive::FailureReply> connection;
         /// Whether the owner answered at all.
         bool answered = false;
         /// Whether it is not an owner according to its own view.
--- a/lib/Forwarding/ownership.cpp
+++ b/lib/Forwarding/ownership.cpp
@@ -66,9 +66,9 @@
         return {};
     }
     const auto holders = owners.empty() ? std::max<std::size_t>(1, this->proxies) : owners.size();
-    const auto links = std::max<std::size_t>(1, this->usableConnections(group, upstream) / holders);
+    const auto connections = std::max<std::size_t>(1, this->usableConnections(group, upstream) / holders);
     const auto statements = std::max(minStatementsPerHolder, upstream.slots * statementsPerSlot / holders);
-    return {links, statements};
+    return {connections, statements};
 }
 
 auto Ownership::usableConnections(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> std::size_t
--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -490,9 +490,9 @@
     auto ownership = Ownership(VmId("vm-10"), ZoneId("zone-a"));
     ownership.viewChanged(*fleet.view);
     const auto &group = fleet.view->groups.front();
-    const auto blockUpstreams = ownership.ownersOf(group, group.members.front()).front();
+    const auto blockedOwner = ownership.ownersOf(group, group.members.front()).front();
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
-        if (fleet.view->proxies[proxy].id == blockUpstreams) {
+        if (fleet.view->proxies[proxy].id == blockedOwner) {
             fleet.blockUpstreams(proxy);
         }
     }
