--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -30,11 +30,11 @@
 
 constexpr auto proxyCount = 12;
 
-/// The way of one proxy to the upstreams.
-class CutConnector : public interactive::LinkConnector
+/// Connects one proxy to the upstreams, unless the test makes them unreachable for it.
+class BlockableConnector : public interactive::LinkConnector
 {
 public:
-    explicit CutConnector(std::shared_ptr<interactive::LinkConnector> inner)
+    explicit BlockableConnector(std::shared_ptr<interactive::LinkConnector> inner)
         : inner(std::move(inner))
     {
     }
@@ -42,8 +42,8 @@
     auto connect(GroupId group, membership::UpstreamView upstream, Duration limit) -> asio::awaitable<interactive::ConnectResult> override
     {
         if (!this->reachable) {
-            auto why = FailureReply{interactive::Failure::Unreachable, "cut off", {}};
-            co_return why;
+            auto refusal = FailureReply{interactive::Failure::Unreachable, "cut off", {}};
+            co_return refusal;
         }
         co_return co_await this->inner->connect(std::move(group), std::move(upstream), limit);
     }
@@ -60,7 +60,7 @@
     std::shared_ptr<interactive::LinkConnector> inner;
 };
 
-/// Twelve proxies before an upstream that takes eleven connections.
+/// Twelve proxies in front of an upstream that accepts eleven connections.
 struct Fleet
 {
     Fleet()
@@ -69,9 +69,9 @@
         this->view->groups.front().connectionLimit = 11;
         for (auto number = 0; number < proxyCount; ++number) {
             const auto vm = VmId("vm-" + std::to_string(10 + number));
-            this->cut.push_back(std::make_shared<CutConnector>(this->databases.connector()));
-            const auto own = interactive::makeLinkPool(this->cut.back(), this->io.get_executor());
-            this->pools.push_back(makeForwardingPool(vm, ZoneId("zone-a"), own, this->io.get_executor()));
+            this->connectors.push_back(std::make_shared<BlockableConnector>(this->databases.connector()));
+            const auto localPool = interactive::makeLinkPool(this->connectors.back(), this->io.get_executor());
+            this->pools.push_back(makeForwardingPool(vm, ZoneId("zone-a"), localPool, this->io.get_executor()));
             auto proxy = membership::ProxyView();
             proxy.id = vm;
             proxy.zone = ZoneId("zone-a");
@@ -101,10 +101,10 @@
     Fleet(const Fleet &) = delete;
     auto operator=(const Fleet &) -> Fleet & = delete;
 
-    /// Keeps the upstreams from taking connections of \p proxy.
-    auto cutOff(std::size_t proxy) -> void
+    /// Makes the upstreams unreachable for \p proxy.
+    auto blockUpstreams(std::size_t proxy) -> void
     {
-        this->cut.at(proxy)->reachable = false;
+        this->connectors.at(proxy)->reachable = false;
     }
 
     auto run(std::chrono::milliseconds time) -> void
@@ -113,7 +113,8 @@
         this->io.run_for(time);
     }
 
-    /// \return whether a lease was had; kept in leases
+    /// Acquires a lease and keeps it in leases.
+    /// \return why there is none, or nothing on success
     auto acquire(std::size_t proxy, Duration patience = 50ms) -> std::optional<FailureReply>
     {
         return this->finish(this->beginAcquire(proxy, patience));
@@ -124,13 +125,13 @@
     auto beginAcquire(std::size_t proxy, Duration patience) -> PendingLease
     {
         auto result = std::make_shared<std::optional<LeaseResult>>();
-        asio::co_spawn(this->io, take(this->pools[proxy], this->view, patience, result), asio::detached);
+        asio::co_spawn(this->io, acquireLease(this->pools[proxy], this->view, patience, result), asio::detached);
         return result;
     }
 
     auto finish(const PendingLease &result) -> std::optional<FailureReply>
     {
-        for (auto look = 0; look < 300 && !result->has_value(); ++look) {
+        for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(10ms);
         }
         REQUIRE(result->has_value());
@@ -145,8 +146,8 @@
     {
         using Proof = std::optional<interactive::PositionProof>;
         auto result = std::make_shared<std::optional<Proof>>();
-        asio::co_spawn(this->io, ask(this->pools[proxy], this->view, oldest, result), asio::detached);
-        for (auto look = 0; look < 300 && !result->has_value(); ++look) {
+        asio::co_spawn(this->io, requestProof(this->pools[proxy], this->view, oldest, result), asio::detached);
+        for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(2ms);
         }
         REQUIRE(result->has_value());
@@ -156,15 +157,15 @@
     auto exchange(interactive::LinkLease &lease, std::string text) -> interactive::ExchangeResult
     {
         auto result = std::make_shared<std::optional<interactive::ExchangeResult>>();
-        asio::co_spawn(this->io, send(lease, std::move(text), result), asio::detached);
-        for (auto look = 0; look < 300 && !result->has_value(); ++look) {
+        asio::co_spawn(this->io, runStatement(lease, std::move(text), result), asio::detached);
+        for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(10ms);
         }
         return result->value();
     }
 
-    /// \return a proxy that has to ask others for the first upstream
-    [[nodiscard]] auto proxyWithoutLinks() const -> std::size_t
+    /// \return a proxy that forwards its statements for the first upstream to owners
+    [[nodiscard]] auto proxyWithoutConnections() const -> std::size_t
     {
         for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
             auto ownership = Ownership(this->view->proxies[proxy].id, ZoneId("zone-a"));
@@ -177,7 +178,7 @@
         return proxyCount;
     }
 
-    /// Lets the proxies \p vms take connections and bytes and say nothing, for as long as the result lasts.
+    /// Replaces the peer endpoints of \p vms by one that accepts connections and data but never answers, for the lifetime of the result.
     [[nodiscard]] auto freeze(const std::vector<VmId> &vms) -> asio::ip::tcp::acceptor
     {
         auto silent = asio::ip::tcp::acceptor(this->io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -194,11 +195,12 @@
     struct LongestAcquire
     {
         Duration time{};
-        /// Whether each had a lease.
+        /// Whether each acquisition succeeded.
         bool served = true;
     };
 
-    /// \return the longest of many acquisitions during \p time, after the first second
+    /// Acquires leases repeatedly for one second and then for \p time.
+    /// \return the longest acquisition after the first second
     auto longestAcquire(std::size_t proxy, Duration time) -> LongestAcquire
     {
         const auto from = support::now() + 1s;
@@ -218,14 +220,14 @@
 
     [[nodiscard]] auto poolOf(const VmId &vm) const -> ForwardingPool &
     {
-        std::size_t place = 0;
-        while (this->view->proxies.at(place).id != vm) {
-            ++place;
+        std::size_t index = 0;
+        while (this->view->proxies.at(index).id != vm) {
+            ++index;
         }
-        return *this->pools.at(place);
+        return *this->pools.at(index);
     }
 
-    /// \return the owners that \p proxy asks, in its order
+    /// \return the owners in the order of preference of \p proxy
     [[nodiscard]] auto ownersFor(std::size_t proxy) const -> std::vector<VmId>
     {
         auto ownership = Ownership(this->view->proxies.at(proxy).id, ZoneId("zone-a"));
@@ -239,7 +241,7 @@
         return this->ownersFor(proxy).front();
     }
 
-    /// \return when transactions that may write were begun, in their order
+    /// \return when read-write transactions were begun, in order
     [[nodiscard]] auto begunAtPrimary() const -> std::vector<TimePoint>
     {
         auto begun = std::vector<TimePoint>();
@@ -254,15 +256,15 @@
     interactive::FakeDatabases databases;
     asio::io_context io;
     std::shared_ptr<membership::ClusterView> view;
-    std::vector<std::shared_ptr<CutConnector>> cut;
+    std::vector<std::shared_ptr<BlockableConnector>> connectors;
     std::vector<std::shared_ptr<ForwardingPool>> pools;
     std::vector<interactive::LinkLease> leases;
 
 private:
-    static auto take(std::shared_ptr<ForwardingPool> pool,
-                     std::shared_ptr<membership::ClusterView> view,
-                     Duration patience,
-                     std::shared_ptr<std::optional<LeaseResult>> result) -> asio::awaitable<void>
+    static auto acquireLease(std::shared_ptr<ForwardingPool> pool,
+                             std::shared_ptr<membership::ClusterView> view,
+                             Duration patience,
+                             std::shared_ptr<std::optional<LeaseResult>> result) -> asio::awaitable<void>
     {
         const auto &group = view->groups.front();
         auto claim = interactive::LinkClaim();
@@ -271,16 +273,16 @@
         *result = co_await pool->acquire(group.id, group.members.front(), std::move(claim));
     }
 
-    static auto ask(std::shared_ptr<ForwardingPool> pool,
-                    std::shared_ptr<membership::ClusterView> view,
-                    Duration oldest,
-                    std::shared_ptr<std::optional<std::optional<interactive::PositionProof>>> result) -> asio::awaitable<void>
+    static auto requestProof(std::shared_ptr<ForwardingPool> pool,
+                             std::shared_ptr<membership::ClusterView> view,
+                             Duration oldest,
+                             std::shared_ptr<std::optional<std::optional<interactive::PositionProof>>> result) -> asio::awaitable<void>
     {
         const auto &group = view->groups.front();
         *result = co_await pool->prove(group.id, group.members.front(), oldest, 100ms);
     }
 
-    static auto send(interactive::LinkLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
+    static auto runStatement(interactive::LinkLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
         -> asio::awaitable<void>
     {
         auto command = interactive::Command();
@@ -291,7 +293,7 @@
     }
 };
 
-/// The owners that a proxy of the fleet asks, on a loop of their own that can stand still.
+/// The owners of a proxy of the fleet, on a separate event loop that the test can stall.
 class StallingOwners
 {
 public:
@@ -299,8 +301,8 @@
         : fleet(fleet)
     {
         for (const auto &owner : fleet.ownersFor(proxy)) {
-            const auto own = interactive::makeLinkPool(fleet.databases.connector(), this->io.get_executor());
-            this->pools.push_back(makeForwardingPool(owner, ZoneId("zone-a"), own, this->io.get_executor()));
+            const auto localPool = interactive::makeLinkPool(fleet.databases.connector(), this->io.get_executor());
+            this->pools.push_back(makeForwardingPool(owner, ZoneId("zone-a"), localPool, this->io.get_executor()));
             for (auto &member : fleet.view->proxies) {
                 if (member.id == owner) {
                     member.peers = this->pools.back()->listen({"127.0.0.1", 0});
@@ -325,7 +327,7 @@
     StallingOwners(const StallingOwners &) = delete;
     auto operator=(const StallingOwners &) -> StallingOwners & = delete;
 
-    /// Lets the owners and the fleet run by turns.
+    /// Runs the event loops of the owners and of the fleet alternately.
     auto runWithFleet(std::chrono::milliseconds time) -> void
     {
         for (auto passed = 0ms; passed < time; passed += 2ms) {
@@ -343,9 +345,9 @@
 
 } // namespace
 
-TEST_CASE("each proxy gets a link, and the upstream's limit is kept")
+TEST_CASE("each proxy gets a connection within the connection limit of the upstream")
 {
-    // A caller at any proxy is served although there are fewer connections than proxies; all together never open more than the limit.
+    // A caller at any proxy is served although there are fewer connections than proxies, and all proxies together never exceed the limit.
     auto fleet = Fleet();
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
         INFO(proxy);
@@ -361,11 +363,12 @@
     CHECK(fleet.databases.member("a").applied == proxyCount);
 }
 
-TEST_CASE("proofs that owners give are never younger than they claim, and most cost the primary nothing")
+TEST_CASE("proofs from owners never appear younger than they are, and most do not query the primary")
 {
-    // A proof that is taken for younger than it is lets a replica serve that lacks an acknowledged write. Each proxy asks an owner, which
-    // asked the primary some time ago; between the two lie the ways and the owner's wait. Counted back from the question, the claim
-    // lies before all of that, by no more than the question took. Owners that have a proof young enough do not ask the primary again.
+    // Failure: a proof that appears younger than it is lets a replica serve reads although it lacks an acknowledged write. Each proxy queries
+    // an owner, which may have queried the primary some time ago; the round trip and the owner's wait come in between. The reported time is
+    // counted back from the request of the proxy, so it is earlier than the query to the primary, by at most the duration of the request.
+    // Owners whose proof is recent enough do not query the primary again.
     constexpr auto rounding = 1ms;
     auto fleet = Fleet();
     auto primaryAsked = std::map<VmId, TimePoint>();
@@ -389,10 +392,10 @@
     CHECK_FALSE(fleet.prove(0, 0ms));
 }
 
-TEST_CASE("a lease that is dropped rolls its transaction back at the owner")
+TEST_CASE("dropping a lease rolls its transaction back at the owner")
 {
-    // The caller's proxy drops the lease in the middle of a transaction. Given back as clean, the owner would hand the open transaction
-    // to the next caller.
+    // The caller's proxy drops the lease in the middle of a transaction. If the owner treated the connection as clean, it would hand the open
+    // transaction to the next caller.
     auto fleet = Fleet();
     REQUIRE_FALSE(fleet.acquire(0));
     REQUIRE_FALSE(fleet.acquire(1));
@@ -403,10 +406,11 @@
     CHECK(fleet.databases.member("a").connections == 0);
 }
 
-TEST_CASE("a frozen owner costs a statement a moment, not its time")
+TEST_CASE("a frozen owner delays a statement only briefly")
 {
-    // An owner freezes: it takes connections and bytes and says nothing. Each statement that is sent there would wait for its whole time
-    // and its caller be told nothing until the deadline, although two other owners have links. It is asked for a sign of life, and left.
+    // Failure: an owner freezes, so that it accepts connections and data but never answers. Each statement sent to it would wait until its
+    // time limit, and its caller would get no answer until the deadline, although two other owners have connections. The proxy pings
+    // the owner and moves on to the next one.
     auto fleet = Fleet();
     const auto frozen = fleet.freeze({fleet.firstOwnerFor(0)});
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
@@ -418,12 +422,12 @@
     }
 }
 
-TEST_CASE("an owner that stays away costs statements nothing once it was given up")
+TEST_CASE("an owner that stays unreachable does not delay statements once it was detected")
 {
-    // Load pattern: a cut between a proxy and some owners lasts for seconds. Were it the statements that find out whether an owner is back, one
-    // in five would wait for it.
+    // Load pattern: a network partition between a proxy and some owners lasts for seconds. If statements were used to detect that an owner is
+    // reachable again, one in five would wait for it.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
 
     SECTION("while others answer")
     {
@@ -432,7 +436,7 @@
         CHECK(longest.served);
         CHECK(longest.time < 100ms);
     }
-    SECTION("while none answers, and is refused at once")
+    SECTION("while none answers, and statements are refused at once")
     {
         const auto frozen = fleet.freeze(fleet.ownersFor(proxy));
         const auto longest = fleet.longestAcquire(proxy, 2s);
@@ -441,12 +445,12 @@
     }
 }
 
-TEST_CASE("a transaction that rests at a slow owner outlives the looks for it")
+TEST_CASE("a transaction that is idle at a slow owner survives the probes of the owner")
 {
-    // Failure: owners that are short of processor time say nothing for most of a second. A proxy that closed its connections to them would have
-    // all transactions that rest there rolled back, and their callers come again when the load is highest.
+    // Failure: owners that are short of processor time send nothing for most of a second. If a proxy closed its connections to them, all
+    // transactions that are idle there would be rolled back, and their callers would retry when the load is highest.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto owners = StallingOwners(fleet, proxy);
     const auto first = fleet.beginAcquire(proxy, 500ms);
     owners.runWithFleet(50ms);
@@ -458,11 +462,11 @@
     fleet.leases.clear();
 }
 
-TEST_CASE("an owner that comes back is asked again")
+TEST_CASE("an owner that is reachable again is used again")
 {
-    // Owners that were given up and never looked for would leave their part of the connections idle for good.
+    // Failure: without probes of unreachable owners, their share of the connections would stay idle for good.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto owners = StallingOwners(fleet, proxy);
     REQUIRE(fleet.acquire(proxy));
     fleet.run(1500ms);
@@ -478,18 +482,18 @@
     CHECK(support::now() - back < 3s);
 }
 
-TEST_CASE("an owner that cannot reach the upstream is not the end of the matter")
+TEST_CASE("the next owner is tried when one cannot reach the upstream")
 {
-    // The primary is cut off from one of its owners, and takes connections from the others. A proxy that asks the one is told so, and must
-    // not tell its caller: the next owner has a link.
+    // The primary is cut off from one of its owners and accepts connections from the others. That owner answers a proxy's request with
+    // Unreachable, which the proxy must not pass to its caller: the next owner has a connection.
     auto fleet = Fleet();
     auto ownership = Ownership(VmId("vm-10"), ZoneId("zone-a"));
     ownership.viewChanged(*fleet.view);
     const auto &group = fleet.view->groups.front();
-    const auto cutOff = ownership.ownersOf(group, group.members.front()).front();
+    const auto blockedOwner = ownership.ownersOf(group, group.members.front()).front();
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
-        if (fleet.view->proxies[proxy].id == cutOff) {
-            fleet.cutOff(proxy);
+        if (fleet.view->proxies[proxy].id == blockedOwner) {
+            fleet.blockUpstreams(proxy);
         }
     }
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
@@ -499,11 +503,11 @@
     }
 }
 
-TEST_CASE("an owner whose view is a moment behind is waited for")
+TEST_CASE("a request waits for an owner whose view is briefly behind")
 {
-    // After a loss of power a proxy with a view asks an owner that has none yet, and must not send its caller away for that.
+    // After a power loss a proxy that has a view sends a request to an owner that has none yet. The caller must not be refused for that.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
     owner.viewChanged(std::make_shared<const membership::ClusterView>());
     const auto pending = fleet.beginAcquire(proxy, 500ms);
@@ -514,11 +518,11 @@
     CHECK(owner.counts().busy == 1);
 }
 
-TEST_CASE("an owner whose view stays behind is passed over")
+TEST_CASE("an owner whose view stays behind is skipped")
 {
-    // An owner that is cut off from control does not know a new upstream; two others serve it.
+    // An owner that is cut off from the control group has no view with a new upstream; two other owners serve it.
     auto fleet = Fleet();
-    const auto proxy = fleet.proxyWithoutLinks();
+    const auto proxy = fleet.proxyWithoutConnections();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
     owner.viewChanged(std::make_shared<const membership::ClusterView>());
     const auto began = std::chrono::steady_clock::now();
@@ -527,9 +531,9 @@
     CHECK(owner.counts().busy == 0);
 }
 
-TEST_CASE("an answer that is lost between proxies is not called unsent")
+TEST_CASE("a write whose answer is lost between proxies is not reported as unsent")
 {
-    // The owner ends while a write is on its way through it. The write may have reached the upstream, so nobody may say that it did not.
+    // The owner stops while it forwards a write. The write may have reached the upstream, so the result must not claim that it was not sent.
     auto fleet = Fleet();
     auto remote = std::optional<std::size_t>();
     for (std::size_t proxy = 0; proxy < proxyCount && !remote; ++proxy) {
