--- a/include/sapphirespool/Interactive/session.h
+++ b/include/sapphirespool/Interactive/session.h
@@ -95,7 +95,7 @@
 };
 
 /// Dependencies of a session service.
-struct SessionServiceParts
+struct SessionServiceDependencies
 {
     ZoneId zone;
     std::shared_ptr<membership::ViewHolder> views;
@@ -106,6 +106,6 @@
     boost::asio::any_io_executor executor;
 };
 
-[[nodiscard]] auto makeSessionService(SessionServiceParts parts) -> std::shared_ptr<SessionService>;
+[[nodiscard]] auto makeSessionService(SessionServiceDependencies parts) -> std::shared_ptr<SessionService>;
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/callersession.cpp
+++ b/lib/Interactive/callersession.cpp
@@ -335,7 +335,7 @@
     // A stale primary, whose replacement this proxy's view does not show yet, would answer a plain read with old data. It refuses to
     // begin a read-write transaction, and any statement in one. The read therefore runs in a read-write transaction, and is sent only
     // once that has begun: pipelined with the begin, it would run outside of a transaction where the begin is refused.
-    const auto begin = commandOfKind(CommandKind::Begin);
+    const auto begin = makeCommand(CommandKind::Begin);
     if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
         const auto notPrimary = why->failure == Failure::ReadOnly;
         if (notPrimary) {
@@ -345,7 +345,7 @@
         }
         co_return retryElsewhere(*std::move(why), notPrimary);
     }
-    const auto commands = std::vector<Command>{commandOf(context.statement, lease.link().state, context.shapePointer()), commandOfKind(CommandKind::Rollback)};
+    const auto commands = std::vector<Command>{commandOf(context.statement, lease.link().state, context.shapePointer()), makeCommand(CommandKind::Rollback)};
     const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, context.remaining());
     if (exchange.results.empty()) {
         this->core->probe(target.member);
--- a/lib/Interactive/linkpool.cpp
+++ b/lib/Interactive/linkpool.cpp
@@ -287,7 +287,7 @@
 
     static auto proveOn(LinkLease &lease, Duration limit) -> asio::awaitable<std::optional<PositionProof>>
     {
-        const auto commands = std::vector<Command>{commandOfKind(CommandKind::Begin), commandOfKind(CommandKind::Rollback)};
+        const auto commands = std::vector<Command>{makeCommand(CommandKind::Begin), makeCommand(CommandKind::Rollback)};
         const auto exchange = co_await lease.link().exchange(commands, limit);
         if (exchange.results.size() < commands.size() || exchange.results.back().status != TransactionStatus::None) {
             co_return std::nullopt;
--- a/lib/Interactive/runvalues.cpp
+++ b/lib/Interactive/runvalues.cpp
@@ -16,7 +16,7 @@
 
 } // namespace
 
-auto commandOfKind(CommandKind kind, std::string id) -> Command
+auto makeCommand(CommandKind kind, std::string id) -> Command
 {
     auto command = Command();
     command.kind = kind;
@@ -53,7 +53,7 @@
 
 auto rollBackAndRelease(std::shared_ptr<LinkLease> lease) -> asio::awaitable<void>
 {
-    const auto commands = std::vector<Command>{commandOfKind(CommandKind::Rollback)};
+    const auto commands = std::vector<Command>{makeCommand(CommandKind::Rollback)};
     const auto exchange = co_await lease->link().exchange(commands, rollbackTimeout);
     const auto clean
         = !exchange.broken && exchange.results.size() == 1 && !exchange.results.front().failure && exchange.results.front().status == TransactionStatus::None;
--- a/lib/Interactive/runvalues.h
+++ b/lib/Interactive/runvalues.h
@@ -26,7 +26,7 @@
 /// Retry delay for callers when a promotion did not complete in time.
 constexpr auto promotionRetryAfter = std::chrono::milliseconds(300);
 
-[[nodiscard]] auto commandOfKind(CommandKind kind, std::string id = {}) -> Command;
+[[nodiscard]] auto makeCommand(CommandKind kind, std::string id = {}) -> Command;
 
 /// \return the caller's reply for \p result
 [[nodiscard]] auto toReply(const CommandResult &result, TransactionStatus status) -> Reply;
--- a/lib/Interactive/sessioncore.cpp
+++ b/lib/Interactive/sessioncore.cpp
@@ -64,7 +64,7 @@
 
 } // namespace
 
-SessionCore::SessionCore(SessionServiceParts givenParts)
+SessionCore::SessionCore(SessionServiceDependencies givenParts)
     : parts(std::move(givenParts))
     , view(this->parts.views->current())
     , proving(this->parts.executor)
--- a/lib/Interactive/sessioncore.h
+++ b/lib/Interactive/sessioncore.h
@@ -41,7 +41,7 @@
 class SessionCore : public std::enable_shared_from_this<SessionCore>
 {
 public:
-    explicit SessionCore(SessionServiceParts parts);
+    explicit SessionCore(SessionServiceDependencies parts);
 
     auto viewChanged() -> void;
 
@@ -102,7 +102,7 @@
     /// Replaces in the background a proof that will soon be too old for \p readAge.
     auto refreshAgeingProof(const GroupId &group, Duration readAge) -> void;
 
-    SessionServiceParts parts;
+    SessionServiceDependencies parts;
     UpstreamLoad load;
     bool refusesNewWork = false;
     bool abortsTransactions = false;
--- a/lib/Interactive/sessionservice.cpp
+++ b/lib/Interactive/sessionservice.cpp
@@ -18,7 +18,7 @@
 class DefaultSessionService : public SessionService
 {
 public:
-    explicit DefaultSessionService(SessionServiceParts parts)
+    explicit DefaultSessionService(SessionServiceDependencies parts)
         : core(std::make_shared<SessionCore>(std::move(parts)))
     {
     }
@@ -66,7 +66,7 @@
 
 } // namespace
 
-auto makeSessionService(SessionServiceParts parts) -> std::shared_ptr<SessionService>
+auto makeSessionService(SessionServiceDependencies parts) -> std::shared_ptr<SessionService>
 {
     return std::make_shared<DefaultSessionService>(std::move(parts));
 }
--- a/lib/Interactive/sessiontransaction.cpp
+++ b/lib/Interactive/sessiontransaction.cpp
@@ -66,7 +66,7 @@
     }
     auto lease = std::get<LinkLease>(std::move(leased));
     // At a primary even a read-only transaction begins as a read-write one, which a stale primary refuses.
-    auto begin = commandOfKind(target.member.isPrimary ? CommandKind::Begin : CommandKind::BeginReadOnly);
+    auto begin = makeCommand(target.member.isPrimary ? CommandKind::Begin : CommandKind::BeginReadOnly);
     begin.after = target.after;
     if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
         const auto notPrimary = why->failure == Failure::ReadOnly;
@@ -149,7 +149,7 @@
 
 auto CallerSession::runCommit(const StatementContext &context) -> asio::awaitable<Reply>
 {
-    auto command = commandOfKind(CommandKind::Commit, context.statement.id);
+    auto command = makeCommand(CommandKind::Commit, context.statement.id);
     command.lasting = this->transaction->wrote;
     const auto exchange = co_await this->exchangeInTransaction(context, command);
     const auto ended = std::move(this->transaction);
--- a/lib/Interactive/statementrun.cpp
+++ b/lib/Interactive/statementrun.cpp
@@ -79,7 +79,7 @@
     return commands;
 }
 
-auto noteDone(LinkState &connection, const Command &command) -> void
+auto applyCommand(LinkState &connection, const Command &command) -> void
 {
     switch (command.kind) {
     case CommandKind::Discard:
@@ -128,7 +128,7 @@
         if (exchange.results[index].failure) {
             co_return failureOf(commands[index], exchange.results[index]);
         }
-        noteDone(connection.state, commands[index]);
+        applyCommand(connection.state, commands[index]);
     }
     if (exchange.broken || exchange.results.size() < commands.size()) {
         auto why = FailureReply{Failure::Unreachable, "the connection broke before the statement was sent", {}};
--- a/lib/Interactive/statementrun.h
+++ b/lib/Interactive/statementrun.h
@@ -32,7 +32,7 @@
 [[nodiscard]] auto stateCommands(const LinkState &connection, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>;
 
 /// Updates \p connection for a successful \p command.
-auto noteDone(LinkState &connection, const Command &command) -> void;
+auto applyCommand(LinkState &connection, const Command &command) -> void;
 
 /// \param shape shape of \p statement if it is a prepared one, else null
 /// \return the command that runs \p statement on a connection in state \p connection
--- a/lib/Node/interactivepart.cpp
+++ b/lib/Node/interactivepart.cpp
@@ -104,9 +104,9 @@
     }
 
 private:
-    auto sessionParts() -> interactive::SessionServiceParts
+    auto sessionParts() -> interactive::SessionServiceDependencies
     {
-        auto parts = interactive::SessionServiceParts();
+        auto parts = interactive::SessionServiceDependencies();
         parts.zone = this->settings.zone;
         parts.views = this->views;
         parts.control = this->control;
--- a/unittests/Interactive/decisionstest.cpp
+++ b/unittests/Interactive/decisionstest.cpp
@@ -152,7 +152,7 @@
     auto commands = stateCommands(link, session, &shape);
     REQUIRE(commands.size() == 2);
     for (const auto &command : commands) {
-        noteDone(link, command);
+        applyCommand(link, command);
     }
     CHECK(link.values == session.values);
     CHECK(link.prepared.contains(shape));
--- a/unittests/Interactive/sessionfixture.h
+++ b/unittests/Interactive/sessionfixture.h
@@ -48,7 +48,7 @@
         this->databases.service.consistency = consistency;
         this->databases.service.readAge = readAge;
         this->publish();
-        auto parts = SessionServiceParts();
+        auto parts = SessionServiceDependencies();
         parts.zone = ZoneId("zone-b");
         parts.views = this->views;
         parts.pool = makeLinkPool(this->databases.connector(), this->io.get_executor());
--- a/unittests/Interactive/sessiontest.cpp
+++ b/unittests/Interactive/sessiontest.cpp
@@ -367,7 +367,7 @@
     auto proxy = Proxy(Consistency::Strong);
     CHECK(std::get<FailureReply>(proxy.service->open("nobody")).failure == Failure::UnknownDatabase);
     auto fresh = std::make_shared<membership::ViewHolder>();
-    auto parts = SessionServiceParts();
+    auto parts = SessionServiceDependencies();
     parts.views = fresh;
     parts.pool = proxy.pool;
     parts.recorder = proxy.recorder;
@@ -467,7 +467,7 @@
     auto proxy = Proxy(Consistency::Strong);
     const auto control = std::make_shared<CountingControl>();
     const auto connector = std::make_shared<OneSidedConnector>();
-    auto parts = SessionServiceParts();
+    auto parts = SessionServiceDependencies();
     parts.views = proxy.views;
     parts.control = control;
     parts.pool = makeLinkPool(connector, proxy.io.get_executor());
@@ -517,7 +517,7 @@
     // Failure: all VMs restart at once after a power failure, and a proxy refuses a caller that it could have served a moment later.
     auto proxy = Proxy(Consistency::Strong);
     const auto former = std::exchange(proxy.views, std::make_shared<membership::ViewHolder>());
-    auto parts = SessionServiceParts();
+    auto parts = SessionServiceDependencies();
     parts.views = proxy.views;
     parts.pool = proxy.pool;
     parts.recorder = proxy.recorder;
@@ -543,7 +543,7 @@
 TEST_CASE("a caller waits only a bounded time when no view arrives")
 {
     auto proxy = Proxy(Consistency::Strong);
-    auto parts = SessionServiceParts();
+    auto parts = SessionServiceDependencies();
     parts.views = std::make_shared<membership::ViewHolder>();
     parts.pool = proxy.pool;
     parts.recorder = proxy.recorder;
