--- a/include/sapphirespool/Interactive/linkpool.h
+++ b/include/sapphirespool/Interactive/linkpool.h
@@ -1,4 +1,4 @@
-// linkpool.h: this proxy's links to upstreams, shared by its sessions.
+// linkpool.h: this proxy's pool of upstream connections, shared by its sessions.
 #pragma once
 
 #include "sapphirespool/Interactive/positionproofs.h"
@@ -20,8 +20,8 @@
 
 class LinkPool;
 
-/// The right to use a link. A lease that is dropped closes its link, so that a session that ends in the middle of anything leaves no
-/// half-done transaction to the next one; giveBack() is for links that are known to be clean.
+/// Exclusive use of a connection. Its destructor closes the connection, so that a session that ends in the middle of an operation leaves no
+/// open transaction to the next session; giveBack() is only for connections that are known to be clean.
 class LinkLease
 {
 public:
@@ -35,7 +35,7 @@
     [[nodiscard]] auto link() const -> UpstreamLink &;
     [[nodiscard]] auto upstream() const -> const UpstreamId &;
 
-    /// Returns the link, outside any transaction, for other sessions to use.
+    /// Returns the connection, which must be outside of a transaction, to the pool for other sessions.
     auto giveBack() -> void;
 
 private:
@@ -46,46 +46,47 @@
     std::shared_ptr<UpstreamLink> held;
 };
 
-/// What a statement wants of a link, and how its wait is ordered among others'.
+/// A statement's request for a connection, and its position in the queue.
 struct LinkClaim
 {
-    /// A link that has these values is preferred.
+    /// A connection that already has these values is preferred.
     SessionValues values;
-    /// Longest wait for a link to come free.
+    /// Longest wait until a connection becomes available.
     Duration patience{};
-    /// Time that opening one may take.
+    /// Time limit for opening a connection.
     Duration connectLimit{};
-    /// Time until the caller wants the answer.
+    /// Time within which the caller wants the answer.
     Duration objective = std::chrono::hours(1);
-    /// As the service says; 0 is served first.
+    /// Priority from the service's configuration; 0 is served first.
     std::uint32_t priority = 0;
-    /// Whether what runs first on the link takes one of the upstream's slots.
+    /// Whether the first command on the connection takes one of the upstream's slots.
     bool takesSlot = true;
 };
 
-/// How much of an upstream one proxy may use at a time.
+/// The share of an upstream that one proxy may use at a time.
 struct LinkLimits
 {
     std::size_t links = 0;
-    /// Statements that it works on. Few more than it has slots: what waits there waits in its order, not in that of the callers' need.
+    /// Statements that the upstream runs at a time. Only a few more than it has slots, because statements queued at the upstream run in its
+    /// order, not by the callers' priorities and deadlines.
     std::size_t statements = 0;
 };
 
-/// A lease, or why there is none; nothing was run then.
+/// A lease, or the reason for its refusal; in that case no command was run.
 using LeaseResult = std::variant<LinkLease, FailureReply>;
 
-/// What the links to one upstream are doing.
+/// Numbers of connections to one upstream by state, and of waiting requests.
 struct LinkCounts
 {
     std::size_t idle = 0;
     /// In use or being opened.
     std::size_t busy = 0;
     std::size_t waiting = 0;
-    /// Busy links that rest inside a transaction whose caller pauses.
+    /// Busy connections that take none of the upstream's slots, for example because they are idle in transaction.
     std::size_t resting = 0;
 };
 
-/// Links by upstream, never more than the limit of each. All calls come on the executor.
+/// Pools connections by upstream, up to the limit of each upstream. All calls run on the executor.
 class LinkPool
 {
 public:
@@ -94,27 +95,28 @@
     auto operator=(const LinkPool &) -> LinkPool & = delete;
     virtual ~LinkPool() = default;
 
-    /// Takes a link once the upstream has room for another statement; opens one if the limit allows; else waits (decisions::StatementQueue).
+    /// Leases a connection as soon as the upstream has a free slot: an idle one, or a new one if the limit allows. Otherwise the request waits
+    /// in the upstream's queue (decisions::StatementQueue).
     virtual auto acquire(GroupId group, membership::UpstreamView upstream, LinkClaim claim) -> boost::asio::awaitable<LeaseResult> = 0;
 
-    /// Looks from this proxy, beside the pool, whether \p upstream takes connections.
-    /// \param thorough whether it must also greet, which takes it some work
-    /// \return why it does not, after \p limit at most; nothing if it does
+    /// Probes whether \p upstream accepts a connection from this proxy. The connection does not count for the pool's limits.
+    /// \param thorough whether the upstream must also send its greeting, which costs it some work
+    /// \return the reason if it does not within \p limit; nothing if it does
     virtual auto probe(GroupId group, membership::UpstreamView upstream, Duration limit, bool thorough) -> boost::asio::awaitable<std::optional<FailureReply>>
         = 0;
 
-    /// Has \p upstream prove how far its group's log has come, if it is the primary: a transaction that may write is begun and rolled back,
-    /// which only a primary accepts and which takes none of its slots.
-    /// \param oldest age of a proof that will do
-    /// \return nothing if it is not the primary, or does not say so within \p limit
+    /// Gets a proof of the end of the group's log from \p upstream if it is the primary. The pool begins a read-write transaction and rolls it
+    /// back, which only a primary accepts and which takes none of its slots.
+    /// \param oldest maximum age of an existing proof that is returned instead
+    /// \return nothing if the upstream is not the primary, or does not answer within \p limit
     virtual auto prove(GroupId group, membership::UpstreamView upstream, Duration oldest, Duration limit)
         -> boost::asio::awaitable<std::optional<PositionProof>>
         = 0;
 
-    /// \param limits what this proxy may use of \p upstream; with no links nothing of it is kept
+    /// \param limits this proxy's share of \p upstream; without any connection the pool erases the entry once it is unused
     virtual auto setLimits(const UpstreamId &upstream, const LinkLimits &limits) -> void = 0;
 
-    /// Closes the idle links to \p upstream, and the others as they are given back.
+    /// Closes the idle connections to \p upstream now, and the busy ones when they are returned.
     virtual auto retire(const UpstreamId &upstream) -> void = 0;
 
     [[nodiscard]] virtual auto counts(const UpstreamId &upstream) const -> LinkCounts = 0;
--- a/include/sapphirespool/Interactive/position.h
+++ b/include/sapphirespool/Interactive/position.h
@@ -1,4 +1,4 @@
-// position.h: a place in the log of a database group, as the members of the group write it.
+// position.h: position in the log of a database group, as its members report it.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -6,7 +6,7 @@
 namespace sapphirespool::interactive
 {
 
-/// Place in a group's log. The term is the members' own, which rises with each change of the primary.
+/// Position in a group's log. The term is that of the members, which increases with each change of the primary.
 struct DataPosition
 {
     Term term;
--- a/include/sapphirespool/Interactive/upstreamlink.h
+++ b/include/sapphirespool/Interactive/upstreamlink.h
@@ -1,4 +1,4 @@
-// upstreamlink.h: one connection to an upstream that keeps state between statements.
+// upstreamlink.h: interface of a stateful connection to an upstream.
 #pragma once
 
 #include "sapphirespool/Interactive/reply.h"
@@ -20,34 +20,34 @@
 namespace sapphirespool::interactive
 {
 
-/// What a link is told.
+/// Kind of a command on an upstream connection.
 enum class CommandKind : std::uint8_t {
     SetValue,
     Prepare,
-    /// Clears the values and the prepared names.
+    /// Clears the values and the prepared statements of the connection.
     Discard,
     Begin,
     BeginReadOnly,
     Commit,
     Rollback,
     Execute,
-    /// A read or write as the caller wrote it.
+    /// A read or write in the caller's own text.
     Run,
 };
 
-/// One command on a link.
+/// One command on an upstream connection.
 struct Command
 {
     CommandKind kind = CommandKind::Run;
-    /// The caller's id; empty for a command of the proxy's own.
+    /// The caller's statement id; empty for commands that the proxy itself sends.
     std::string id;
     std::string name;
     std::string text;
     PreparedShape shape;
-    /// Position that the upstream's log must hold, or it does not run the command.
+    /// Position that the upstream's log must contain; otherwise the upstream refuses the command.
     std::optional<DataPosition> after;
-    /// Whether what it changes may last although its answer is lost: a commit, or a write on its own. Others can be given up without a
-    /// doubt, since a transaction that is not committed is rolled back.
+    /// Whether its changes may be durable although its answer is lost: a commit, or a write outside of a transaction. Other commands can
+    /// safely be abandoned, since a transaction that is not committed is rolled back.
     bool lasting = false;
 };
 
@@ -57,36 +57,36 @@
     std::vector<std::string> rows;
     std::string signature;
     std::optional<FailureReply> failure;
-    /// Transaction of the connection after the command.
+    /// Transaction status of the connection after the command.
     TransactionStatus status = TransactionStatus::None;
     std::optional<DataPosition> position;
 };
 
-/// Outcome of some commands that were sent together.
+/// Outcome of the commands that were sent together.
 struct ExchangeResult
 {
-    /// One for each command that was answered in full, in their order.
+    /// One result for each command that was answered completely, in the order of the commands.
     std::vector<CommandResult> results;
-    /// Whether a byte may have reached the upstream. False proves that it did not.
+    /// Whether any byte may have reached the upstream. False proves that none did.
     bool sent = false;
-    /// The connection broke, fell silent or sent what cannot be read; it is closed.
+    /// The connection broke, timed out or sent malformed data; it is closed.
     bool broken = false;
     /// When the commands were sent.
     TimePoint sentAt{};
 };
 
-/// Values of a session, or of a connection, by their names.
+/// Values of a session or connection by name.
 using SessionValues = std::map<std::string, std::string>;
 
-/// Values and prepared statements of a connection.
+/// Session values and prepared statements that are set on a connection.
 struct LinkState
 {
     SessionValues values;
-    /// Name on the connection of each shape that was prepared on it.
+    /// Name on this connection of each prepared shape.
     std::map<PreparedShape, std::string> prepared;
 };
 
-/// A connection. One exchange at a time.
+/// A connection to an upstream. It handles one exchange at a time.
 class UpstreamLink
 {
 public:
@@ -95,22 +95,22 @@
     auto operator=(const UpstreamLink &) -> UpstreamLink & = delete;
     virtual ~UpstreamLink() = default;
 
-    /// Sends \p commands together and waits for their results, for \p limit at most; the link is closed then.
+    /// Sends \p commands together and waits for their results. The connection is closed if they take longer than \p limit.
     virtual auto exchange(std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult> = 0;
 
     virtual auto close() -> void = 0;
 
-    /// \return whether the connection can be used: it is open, and nothing has arrived on it unasked
+    /// \return whether the connection is open and has received no unsolicited data
     [[nodiscard]] virtual auto isUsable() const -> bool = 0;
 
-    /// What the proxy has set on the connection.
+    /// The state that the proxy has set on the connection.
     LinkState state;
 };
 
-/// A link, or why there is none; the reason promises that nothing was run.
+/// A connection, or the reason for the failure; a failure guarantees that no command was run.
 using ConnectResult = std::variant<std::shared_ptr<UpstreamLink>, FailureReply>;
 
-/// Opens links.
+/// Opens upstream connections.
 class LinkConnector
 {
 public:
@@ -122,7 +122,7 @@
     /// Connects to \p upstream as a member of \p group within \p limit.
     virtual auto connect(GroupId group, membership::UpstreamView upstream, Duration limit) -> boost::asio::awaitable<ConnectResult> = 0;
 
-    /// \return whether \p upstream takes a connection within \p limit. It does no work for that, and none of its links is used.
+    /// \return whether \p upstream accepts a connection within \p limit. This costs the upstream no work and uses none of its connections.
     virtual auto reaches(membership::UpstreamView upstream, Duration limit) -> boost::asio::awaitable<bool> = 0;
 };
 
--- a/include/sapphirespool/Interactive/upstreamload.h
+++ b/include/sapphirespool/Interactive/upstreamload.h
@@ -1,4 +1,4 @@
-// upstreamload.h: decides which member of a group serves a read.
+// upstreamload.h: selects the member of a group that serves a read.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -17,55 +17,56 @@
     UpstreamId upstream;
     bool isPrimary = false;
     bool inOwnZone = false;
-    /// Statements of this proxy that the member works on or that wait for it.
+    /// Statements of this proxy that the member runs or that wait for it.
     std::size_t inUse = 0;
 };
 
-/// Sends reads where they are likely to be done first.
+/// Selects the member that is expected to finish a read first.
 ///
-/// Load pattern: one member of a group becomes slow, or other proxies fill it up; statements pile up there while its peers idle.
-/// Without it reads go round in turn, a third of them waits behind the slow member, and the callers' slowest answers are its own.
+/// Load pattern: one member of a group becomes slow, or other proxies saturate it, so that statements queue there while its peers are idle.
+/// With round-robin selection a third of the reads would wait for the slow member, which would set the callers' tail latency.
 /// The expected time is the member's recent time for a read times the statements that this proxy has there already (least expected
-/// latency with a peak-sensitive average). A member that nobody asks fades back to being worth a try.
+/// latency with a peak-sensitive average). The average of a member without reads decays until it is eligible for a trial request.
 class UpstreamLoad
 {
 public:
-    /// Weight of the newest time in the average: the last five or so count.
+    /// Weight of the newest time in the average, so that about the last five times count.
     static constexpr auto newest = 0.2;
-    /// Time after which an average that got nothing new counts for half.
+    /// Time after which an average without new values counts for half.
     static constexpr auto halfLife = std::chrono::milliseconds(2'000);
-    /// A failed member is asked last for this long; doubled for each further failure, up to the limit.
+    /// Backoff during which a failed member is the last choice; doubled for each further failure, up to the limit.
     static constexpr auto firstRest = std::chrono::milliseconds(100);
     static constexpr auto longestRest = std::chrono::milliseconds(2'000);
-    /// A member that lacks what a read must see is asked last for this part of the time that it is behind, within the bounds: one that is
-    /// a replication delay of some tens of milliseconds behind has caught up in the next moment, one that is ten seconds behind has not.
-    /// Each read that asks it in vain loses a way there and back and its place in a queue; the latest that its recovery goes
-    /// unnoticed is the longest rest.
+    /// A member that lacks the position that a read requires is the last choice for this fraction of its lag, within the bounds. A member
+    /// with a replication delay of some tens of milliseconds catches up almost at once, one that is ten seconds behind does not.
+    /// Each read that it refuses costs a round trip and a position in a queue. The upper bound limits how long its recovery goes
+    /// unnoticed.
     static constexpr auto lagPart = 4;
     static constexpr auto shortestLagRest = std::chrono::milliseconds(60);
     static constexpr auto longestLagRest = std::chrono::milliseconds(1'000);
-    /// Least expected time, so that the way between zones, some milliseconds, counts against an idle member elsewhere.
+    /// Lower bound of the expected time, so that the network path between zones, some milliseconds, counts against an idle member in another
+    /// zone.
     static constexpr auto floor = std::chrono::milliseconds(5);
-    /// What a member in another zone costs on top: the way there and back, and traffic between zones that is paid for.
+    /// Added to the expected time of a member in another zone, for the round trip and the cost of traffic between zones.
     static constexpr auto otherZone = std::chrono::milliseconds(3);
-    /// The primary also carries all writes and transactions, so that a read there holds up work that can go nowhere else. With this
-    /// weight it gets reads once the replicas are twice as busy.
+    /// The primary also serves all writes and transactions, so a read there delays work that no other member can do. With this weight it
+    /// gets reads only when the replicas are twice as busy.
     static constexpr auto primaryWeight = 2.0;
 
-    /// Notes that \p upstream served a read in \p time.
+    /// Records that \p upstream served a read in \p time.
     auto served(const UpstreamId &upstream, Duration time, TimePoint now) -> void;
 
-    /// Notes that \p upstream did not serve: it was unreachable, full or silent.
+    /// Records that \p upstream did not serve a read because it was unreachable, full or unresponsive.
     auto failed(const UpstreamId &upstream, TimePoint now) -> void;
 
-    /// Notes that \p upstream lacked what a read had to see.
-    /// \param behind how long ago the group's log had already more than the upstream has; zero if that is not known
+    /// Records that \p upstream lacked the position that a read requires.
+    /// \param behind time since the group's log is known to extend beyond that of the upstream; zero if it is unknown
     auto lagged(const UpstreamId &upstream, Duration behind, TimePoint now) -> void;
 
-    /// Keeps nothing of the upstreams that are not among \p present.
+    /// Removes all upstreams that are not in \p present.
     auto keepOnly(const std::set<UpstreamId> &present) -> void;
 
-    /// \return the candidate that is likely to be done first; null if there is none
+    /// \return the candidate with the least expected time; null if there is none
     [[nodiscard]] auto choose(std::span<const ReadCandidate> candidates, TimePoint now) const -> const ReadCandidate *;
 
 private:
--- a/lib/Interactive/linkplace.h
+++ b/lib/Interactive/linkplace.h
@@ -1,4 +1,4 @@
-// linkplace.h: what a proxy's link pool keeps of one upstream.
+// linkplace.h: state of a proxy's connection pool for one upstream.
 #pragma once
 
 #include "meteredlink.h"
@@ -21,10 +21,10 @@
 namespace sapphirespool::interactive
 {
 
-/// What a proxy may use before it knows its share of an upstream.
+/// Limits of an upstream before this proxy's share of it is known.
 constexpr auto firstLimits = LinkLimits{1, 1};
 
-/// A session that waits for a link.
+/// A session that waits for a connection.
 struct Waiter
 {
     explicit Waiter(const boost::asio::any_io_executor &executor)
@@ -34,38 +34,38 @@
 
     boost::asio::steady_timer timer;
     bool takesSlot = true;
-    /// The link that came free.
+    /// The connection that became available.
     std::shared_ptr<MeteredLink> link;
-    /// Whether a place came free in which a link may be opened; the place is taken for this waiter.
+    /// Whether the waiter may open a connection; the pool already counts it as busy.
     bool mayOpen = false;
-    /// Whether the upstream turned out to be unreachable.
+    /// Whether the upstream became unreachable during the wait.
     bool unreachable = false;
 };
 
-/// The links to one upstream.
+/// The connections to one upstream and the sessions that wait for them.
 struct Place
 {
     LinkLimits limits = firstLimits;
     /// Most recently used last.
     std::vector<std::shared_ptr<MeteredLink>> idle;
     std::size_t busy = 0;
-    /// Busy links that take none of the upstream's slots.
+    /// Busy connections that take none of the upstream's slots.
     std::size_t resting = 0;
     decisions::StatementQueue queue;
     std::map<decisions::StatementQueue::Ticket, std::shared_ptr<Waiter>> waiters;
-    /// How long a statement that takes a slot is under way.
+    /// Time from sending a statement that takes a slot to its answer.
     decisions::ServiceEstimate serviceTime;
     bool retired = false;
-    /// The upstream as the view last showed it.
+    /// The upstream as in the view of the latest request.
     membership::UpstreamView upstream;
     support::Presence presence;
-    /// Lines on an upstream that comes and goes by turns.
+    /// Limits the log lines about an upstream that alternates between reachable and unreachable.
     support::LogBudget lines{1.0};
-    /// Whether it is being looked for.
+    /// Whether a background probe of the unreachable upstream is running.
     bool lookedFor = false;
-    /// When it was last looked at since statements were overdue.
+    /// When it was last probed because of overdue statements.
     TimePoint overdueLookAt{};
-    /// The newest that the upstream gave.
+    /// The newest position proof from the upstream.
     std::optional<PositionProof> proof = {};
 
     [[nodiscard]] auto hasRoom() const -> bool
--- a/lib/Interactive/linkpool.cpp
+++ b/lib/Interactive/linkpool.cpp
@@ -31,16 +31,18 @@
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
-/// When a caller who met an unreachable upstream may come back: about when it is noticed that the upstream is back.
+/// Retry delay for callers that met an unreachable upstream: about the time until the pool's probes find the upstream reachable again.
 constexpr auto unreachableRetry = std::chrono::duration_cast<std::chrono::milliseconds>(support::Presence::longestPause);
 
-/// Longer than a look on which statements wait: a proxy or a link that is overloaded is no sign of a dead upstream.
+/// Time limit of a probe. It is longer than that of a probe on which statements wait, because an overloaded proxy or network path must
+/// not make a live upstream count as unreachable.
 constexpr auto lookLimit = 2 * http::reachLimit;
 
-/// Pause between two looks at an upstream whose statements are overdue. It is slow, or its answers are lost, for seconds at a time.
+/// Minimum time between two probes of an upstream with overdue statements. Such an upstream is slow, or its answers are lost, for
+/// seconds at a time.
 constexpr auto overdueLookSpacing = std::chrono::milliseconds(500);
 
-/// No statement counts as lost before this time: a few times what most take.
+/// Lower bound of the time after which a statement is overdue: a few times the duration of most statements.
 constexpr auto soonestOverdue = std::chrono::milliseconds(100);
 
 auto unreachableReply(const UpstreamId &upstream) -> FailureReply
@@ -244,7 +246,8 @@
 
     static auto busyReply(std::string detail, Duration wait) -> FailureReply
     {
-        // Who comes back before the present queue is served finds it again; sooner than this the answer of one statement is hardly there.
+        // A caller that retries before the present queue is served finds it again. The answer to a single statement rarely arrives
+        // sooner than this minimum.
         constexpr auto soonest = std::chrono::milliseconds(50);
         return {Failure::Busy, std::move(detail), std::max(soonest, std::chrono::ceil<std::chrono::milliseconds>(wait))};
     }
@@ -300,14 +303,14 @@
         co_return PositionProof{exchange.sentAt, *begun.position};
     }
 
-    /// Leases a link in a place that is taken for it.
+    /// Leases a connection that occupy() has already counted.
     auto lease(const UpstreamId &upstream, std::shared_ptr<MeteredLink> link, bool takesSlot) -> LeaseResult
     {
         link->resting = !takesSlot;
         return LinkLease(this->weak_from_this(), upstream, std::move(link));
     }
 
-    /// Opens a link in a place that is taken for it.
+    /// Opens a connection that occupy() has already counted, and leases it.
     auto open(GroupId group, membership::UpstreamView upstream, LinkClaim claim) -> asio::awaitable<LeaseResult>
     {
         const auto id = upstream.id;
@@ -328,14 +331,14 @@
         co_return why;
     }
 
-    /// Tells all that wait for an upstream that cannot be reached, and looks for it until it is back.
+    /// Marks \p upstream as unreachable, refuses all its waiters and probes it in the background until it is reachable again.
     auto leaveAlone(const UpstreamId &upstream, Place &place) -> void
     {
         const auto now = support::now();
         if (place.presence.failed(now) && place.lines.tryTake(now)) {
             support::log(support::Event::UpstreamAway, {{"upstream", upstream.value()}, {"waiting", place.waiters.size()}, {"busy", place.busy}});
         }
-        // Connections to an upstream behind a cut stay open without a word. A statement on one of them would wait for its whole time.
+        // A network partition does not close connections. A statement sent on one of them would wait until its deadline.
         for (const auto &link : place.idle) {
             link->close();
         }
@@ -369,14 +372,14 @@
             found = self->places.find(upstream);
         }
         if (found != self->places.end()) {
-            // An upstream that was retired meanwhile is tried anew if it is ever asked for again.
+            // If the upstream was retired meanwhile, a later request for it connects again.
             found->second.presence.answered();
             found->second.lookedFor = false;
         }
     }
 
-    /// Notes whether \p upstream takes connections.
-    /// \return whether it does
+    /// Probes \p upstream and marks it as reachable if it accepts the connection.
+    /// \return whether it is reachable, or no longer in the pool
     auto lookOnce(UpstreamId upstream) -> asio::awaitable<bool>
     {
         const auto known = this->places.find(upstream);
@@ -403,7 +406,7 @@
     auto returned(const UpstreamId &upstream, std::shared_ptr<UpstreamLink> given, bool clean) -> void override
     {
         auto &place = this->places[upstream];
-        // The pool leases no other links.
+        // The pool leases only metered connections.
         auto link = std::static_pointer_cast<MeteredLink>(std::move(given));
         --place.busy;
         place.resting -= std::exchange(link->resting, false) ? 1 : 0;
--- a/lib/Interactive/meteredlink.cpp
+++ b/lib/Interactive/meteredlink.cpp
@@ -71,7 +71,7 @@
 auto MeteredLink::watchOverdue(const std::shared_ptr<boost::asio::steady_timer> &timer) -> void
 {
     timer->async_wait([this, timer](const boost::system::error_code &error) {
-        // A wait that was over just before the exchange ended is not cancelled any more; the link may be gone then.
+        // If the timer expires just before the exchange ends, its handler can no longer be cancelled; the connection may be destroyed by then.
         if (error || timer->expiry() == endedExchange) {
             return;
         }
--- a/lib/Interactive/meteredlink.h
+++ b/lib/Interactive/meteredlink.h
@@ -1,4 +1,4 @@
-// meteredlink.h: a link that knows whether the upstream works on it.
+// meteredlink.h: an upstream connection that reports when it takes and releases a slot of the upstream.
 #pragma once
 
 #include "sapphirespool/Interactive/upstreamlink.h"
@@ -11,7 +11,7 @@
 namespace sapphirespool::interactive
 {
 
-/// Told when a link begins to rest inside a transaction, and when the transaction goes on.
+/// Receives the slot changes and command durations that metered connections report.
 class WorkMeter
 {
 public:
@@ -20,24 +20,27 @@
     auto operator=(const WorkMeter &) -> WorkMeter & = delete;
     virtual ~WorkMeter() = default;
 
+    /// A busy connection no longer takes a slot: its transaction is idle or its command is overdue.
     virtual auto rested(const UpstreamId &upstream) -> void = 0;
+    /// A busy connection without a slot takes one again.
     virtual auto resumed(const UpstreamId &upstream) -> void = 0;
-    /// A command that took a slot was answered after \p took.
+    /// A command that takes a slot was answered after \p took.
     virtual auto worked(const UpstreamId &upstream, Duration took) -> void = 0;
-    /// A command that took a slot has had no answer for overdueAfter().
+    /// A command that takes a slot has had no answer for overdueAfter().
     virtual auto overdue(const UpstreamId &upstream) -> void = 0;
-    /// \return how long a command may go without an answer before it counts as lost
+    /// \return time without an answer after which a command counts as lost
     [[nodiscard]] virtual auto overdueAfter(const UpstreamId &upstream) const -> Duration = 0;
 };
 
-/// Passes exchanges on, and notes between them whether a transaction rests on the link.
+/// Forwards exchanges to another connection and tracks whether this one takes a slot of the upstream.
 ///
-/// A caller that pauses inside a transaction holds a connection and none of the upstream's slots. Counted as work, a dozen such callers
-/// would keep all others from an idle upstream.
+/// A connection that is idle in transaction takes no slot, since the upstream does no work for a caller that pauses. If it took one, a dozen
+/// such callers would keep all others from an idle upstream.
 ///
-/// Load pattern: an upstream runs statements whose answers are lost. Each waits for its whole time, a second or more, while the upstream has long
-/// done it. Counted as work, two of them at each holder of links keep everyone from an upstream that is idle. So a command that is
-/// overdue takes no slot any more; its link stays taken, so that it cannot be more than there are links.
+/// Load pattern: an upstream runs statements whose answers are lost. Each statement waits until its deadline, a second or more, although
+/// the upstream finished it long ago. If they kept their slots, two of them at each proxy that owns connections would keep all callers from
+/// an idle upstream. So an overdue command releases its slot. Its connection stays busy, which bounds the number of such commands by
+/// the connection limit.
 class MeteredLink : public UpstreamLink
 {
 public:
@@ -47,11 +50,11 @@
     auto close() -> void override;
     [[nodiscard]] auto isUsable() const -> bool override;
 
-    /// Whether the link is held and takes none of the upstream's slots.
+    /// Whether the connection is busy and takes none of the upstream's slots.
     bool resting = false;
 
 private:
-    /// Frees the slot of the exchange under way once it is overdue, unless it has ended by then.
+    /// Releases the slot of the current exchange when \p timer expires, unless the exchange has ended by then.
     auto watchOverdue(const std::shared_ptr<boost::asio::steady_timer> &timer) -> void;
 
     std::shared_ptr<UpstreamLink> inner;
--- a/lib/Interactive/positionproofs.cpp
+++ b/lib/Interactive/positionproofs.cpp
@@ -15,8 +15,8 @@
         return;
     }
     auto &last = this->proofs.back();
-    // Answers overtake each other. One to an earlier request says nothing that a later request's does not, and a lower position
-    // than a known one comes from a primary whose log ended before the present one's began.
+    // Answers can arrive out of order. The answer to an earlier request proves nothing beyond that to a later one, and a position below
+    // the last one comes from a former primary, whose log ended before that of the current primary began.
     if (sent < last.sent + spacing || position < last.position) {
         return;
     }
--- a/lib/Interactive/primarywatch.h
+++ b/lib/Interactive/primarywatch.h
@@ -1,4 +1,4 @@
-// primarywatch.h: decides when a primary that does not answer is worth a look.
+// primarywatch.h: decides when an unresponsive primary is probed.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -11,21 +11,24 @@
 namespace sapphirespool::interactive
 {
 
-/// Notices an upstream that falls silent while statements wait for it.
+/// Detects an upstream that becomes unresponsive while statements wait for it.
 ///
-/// Failure: a primary loses its power or its way. Nothing is reset, so that each statement waits for its whole time, a second or more,
-/// and only then somebody learns of it; the promotion begins that much later for all callers. A single statement may just be slow, and
-/// a single answer may be lost: only an upstream that has answered nothing at all for a while is looked at, by a new connection. One
-/// that takes the connection is well; only one that does not is suspected.
+/// Failure: a primary loses power or its network path. No connection is reset, so each statement waits until its deadline, a second or
+/// more, and the failure is detected only then; the promotion begins that much later for all callers. A single statement may just be slow,
+/// and a single answer may be lost. So only an upstream that has answered nothing at all for a while is probed, by a new connection. It is
+/// suspected only if it does not accept the connection.
 class PrimaryWatch
 {
 public:
-    /// Silence after which an upstream is looked at, and again as long as it lasts: several times what most statements take.
+    /// Time without an answer after which an upstream is probed, and interval of further probes while it stays unresponsive: several
+    /// times the duration of most statements.
     static constexpr auto silence = std::chrono::milliseconds(150);
-    /// Silence after which it must also greet: one that takes connections and does no work would else never be noticed.
+    /// Time without an answer after which the probe also requires the upstream's greeting. Without it, an upstream that accepts connections
+    /// and does no work would never be detected.
     static constexpr auto longSilence = std::chrono::milliseconds(400);
 
-    /// An upstream to look at.
+    /// An upstream to probe.
+    /// `thorough` says whether it must also send its greeting.
     struct Look
     {
         UpstreamId upstream;
@@ -35,23 +38,22 @@
     };
 
     auto sent(const UpstreamId &upstream, TimePoint now) -> void;
-    /// A statement came to an end.
-    /// \param answered whether by an answer of the upstream
+    /// Records the end of a statement.
+    /// \param answered whether the upstream answered it
     auto ended(const UpstreamId &upstream, bool answered, TimePoint now) -> void;
 
-    /// \return the upstreams to look at now; each of them counts as looked at
+    /// \return the upstreams to probe now; \p now is recorded as the time of their last probe
     [[nodiscard]] auto due(TimePoint now) -> std::vector<Look>;
 
-    /// \return whether any statement is under way
+    /// \return whether any statement is outstanding
     [[nodiscard]] auto isActive() const -> bool;
 
 private:
     struct Upstream
     {
         std::size_t outstanding = 0;
-        /// When it last answered, or the oldest statement since then was sent.
+        /// When it last answered, or when the first statement was sent after a time without outstanding ones.
         TimePoint since{};
-        /// When it was last looked at.
         TimePoint looked{};
     };
 
--- a/lib/Interactive/singleflight.h
+++ b/lib/Interactive/singleflight.h
@@ -1,4 +1,4 @@
-// singleflight.h: one caller gets what several want.
+// singleflight.h: suppresses duplicate concurrent requests.
 #pragma once
 
 #include <boost/asio/any_io_executor.hpp>
@@ -13,10 +13,10 @@
 namespace sapphirespool::interactive
 {
 
-/// Lets callers that want the same thing at the same time wait for the one of them that fetches it (single flight).
+/// Lets one caller fetch a result that several callers need at the same time, while the others wait for it (single flight).
 ///
-/// Load pattern: all proxies come back at once, and each of hundreds of statements lacks the same proof. Fetched by each, it would cost
-/// the primary as many exchanges as there are statements. All calls come on the executor.
+/// Load pattern: all proxies reconnect at once, and hundreds of statements need the same position proof. Without this class the primary would
+/// handle one exchange per statement. All calls run on the executor.
 template <typename Key>
 class SingleFlight
 {
@@ -26,7 +26,7 @@
     {
     }
 
-    /// The right to fetch; wakes the others as it ends.
+    /// Held by the caller that fetches; its destructor wakes the callers that wait.
     class Flight
     {
     public:
@@ -49,7 +49,7 @@
         Key key;
     };
 
-    /// \return the flight if nobody fetches \p key yet; else null
+    /// \return a new flight, or null if another caller already fetches \p key
     auto begin(const Key &key) -> std::unique_ptr<Flight>
     {
         const auto [place, isFirst] = this->flights.try_emplace(key);
@@ -60,7 +60,7 @@
         return std::make_unique<Flight>(*this, key);
     }
 
-    /// Waits for the flight of \p key to end, if there is one.
+    /// Waits until the flight of \p key ends, if there is one.
     auto join(Key key) -> boost::asio::awaitable<void>
     {
         const auto found = this->flights.find(key);
--- a/lib/Interactive/upstreamload.cpp
+++ b/lib/Interactive/upstreamload.cpp
@@ -20,7 +20,7 @@
 {
     auto &member = this->members[upstream];
     const auto ms = inMs(time);
-    // A time above the average counts at once: queues grow faster than they drain.
+    // A time above the average counts for half immediately, because queues grow faster than they drain.
     member.averageMs = ms > member.averageMs ? (member.averageMs + ms) / 2 : member.averageMs + newest * (ms - member.averageMs);
     member.noted = now;
     member.rest = std::chrono::milliseconds(0);
--- a/unittests/Interactive/decisionstest.cpp
+++ b/unittests/Interactive/decisionstest.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("a proof covers what was acknowledged before it, and the least one is asked for")
+TEST_CASE("a proof covers earlier acknowledged writes, and the lowest covering position is returned")
 {
     auto proofs = PositionProofs();
     CHECK_FALSE(proofs.covering(start));
@@ -39,10 +39,10 @@
     CHECK_FALSE(proofs.covering(start + 201ms));
 }
 
-TEST_CASE("an answer that was overtaken, or that an old primary gave, proves nothing")
+TEST_CASE("an answer that arrives out of order or from a former primary is not recorded")
 {
-    // A primary was replaced; a late answer of the old one names a position of its own log. Were it the newest proof, reads would be
-    // called covered that lack the new primary's writes.
+    // After a primary was replaced, a late answer from the former one names a position of its own log. As the newest proof it would admit
+    // reads that lack the new primary's writes.
     auto proofs = PositionProofs();
     proofs.note(start + 100ms, at(2, 5));
     proofs.note(start + 50ms, at(2, 4));
@@ -52,9 +52,9 @@
     CHECK_FALSE(proofs.covering(start + 101ms));
 }
 
-TEST_CASE("reads leave a member that became slow, and come back when it recovers")
+TEST_CASE("reads avoid a member that became slow, and return when it recovers")
 {
-    // One replica becomes ten times slower. Sent round in turn, each third read would wait for it.
+    // One replica becomes ten times slower. With round-robin selection each third read would wait for it.
     auto load = UpstreamLoad();
     const auto fast = UpstreamId("fast");
     const auto slow = UpstreamId("slow");
@@ -81,7 +81,7 @@
     CHECK(load.choose(full, start)->upstream == primary);
 }
 
-TEST_CASE("a member that failed or lags is asked last for a while")
+TEST_CASE("a member that failed or lags is the last choice during its backoff")
 {
     auto load = UpstreamLoad();
     const auto first = UpstreamId("first");
@@ -97,11 +97,11 @@
     CHECK(load.choose(candidates, start + 2 * UpstreamLoad::firstRest)->upstream == first);
 }
 
-TEST_CASE("load: replicas that are seconds behind are not asked by each read")
+TEST_CASE("load: reads do not each try replicas that are seconds behind")
 {
-    // Both replicas of a group are ten seconds behind, and a proxy has a read for it every half second. With a rest of some
-    // milliseconds each of its reads would ask both replicas first, wait in their queues for nothing, and come to the primary with a part of its
-    // time gone. The rest grows with the time that they are behind.
+    // Both replicas of a group are ten seconds behind, and a proxy has a read for the group every half second. With a backoff of some
+    // milliseconds each read would try both replicas first, wait in their queues in vain, and reach the primary with less time until its
+    // deadline. So the backoff grows with the replicas' lag.
     auto proofs = PositionProofs();
     proofs.note(start, at(1, 10));
     proofs.note(start + 1s, at(1, 20));
@@ -123,9 +123,9 @@
     CHECK(load.choose(candidates, start + 20s + UpstreamLoad::shortestLagRest)->upstream == replica);
 }
 
-TEST_CASE("a primary is looked at when it answers nothing, not when one statement is slow")
+TEST_CASE("a primary is probed when it answers nothing, not when one statement is slow")
 {
-    // The primary's VM loses power: nothing is reset, and statements wait. One long statement among answered ones is no sign of that.
+    // The primary's VM loses power: no connection is reset, and statements wait. One slow statement among answered ones does not indicate that.
     auto watch = PrimaryWatch();
     const auto primary = UpstreamId("primary");
     watch.sent(primary, start);
@@ -136,13 +136,13 @@
     CHECK(watch.due(firstLook) == std::vector{PrimaryWatch::Look{primary, false}});
     CHECK(watch.due(firstLook + 1ms).empty());
     CHECK(watch.due(firstLook + PrimaryWatch::silence) == std::vector{PrimaryWatch::Look{primary, false}});
-    // One that takes connections all the while and answers nothing must also greet.
+    // An upstream that keeps accepting connections and answers nothing must also send its greeting.
     CHECK(watch.due(start + 200ms + PrimaryWatch::longSilence + PrimaryWatch::silence) == std::vector{PrimaryWatch::Look{primary, true}});
     watch.ended(primary, false, start + 1s);
     CHECK_FALSE(watch.isActive());
 }
 
-TEST_CASE("a link is brought to exactly the session's state")
+TEST_CASE("stateCommands() brings a connection to exactly the session's state")
 {
     auto link = LinkState();
     auto session = SessionState();
@@ -165,10 +165,10 @@
     CHECK(commands[2].kind == CommandKind::Prepare);
 }
 
-TEST_CASE("a thousand callers of a group whose primary is gone make one search in each pause")
+TEST_CASE("a thousand callers of a group without a primary start one search per interval")
 {
-    // Load pattern: all statements of a group meet a primary that was replaced, at a proxy that no view reaches. Without the pause each of
-    // them would ask each member.
+    // Load pattern: all statements of a group go to a primary that was replaced, at a proxy that receives no views. Without the interval
+    // each of them would ask each member.
     auto search = PrimarySearch();
     auto searches = 0;
     for (auto caller = 0; caller < 1'000; ++caller) {
@@ -178,7 +178,7 @@
     CHECK(search.begin(GroupId("other"), start));
 }
 
-TEST_CASE("a primary that was found stands until it refuses or the view names a later term")
+TEST_CASE("a found primary is valid until it refuses or the view has a later term")
 {
     const auto group = GroupId("g");
     auto search = PrimarySearch();
--- a/unittests/Interactive/fakedatabases.h
+++ b/unittests/Interactive/fakedatabases.h
@@ -1,7 +1,7 @@
-// fakedatabases.h: a group of databases behind the link interface, in one process.
+// fakedatabases.h: an in-process fake of a database group behind the upstream connection interface.
 //
-// Members keep a log of writes by item, values and prepared names by connection, and refuse as databases do. Tests take members away,
-// demote them, let replicas lag and lose answers, and read what was run where.
+// Members store written items, and the values and prepared statements of each connection, and refuse commands as databases do. Tests make
+// members unreachable, demote them, let replicas lag, lose answers, and inspect which member ran which command.
 #pragma once
 
 #include "sapphirespool/Interactive/upstreamlink.h"
@@ -25,20 +25,20 @@
     std::size_t connection = 0;
     Command command;
     SessionValues values;
-    /// When it came to the member.
+    /// When it reached the member.
     TimePoint at{};
 };
 
-/// What a member does to the next commands that match.
+/// Fault that a member injects into a command.
 enum class Trouble {
     None,
     /// The connection breaks before the command runs.
     BreakBefore,
     /// The command runs, and the connection breaks before its answer.
     BreakAfter,
-    /// The command is refused since the queue is full.
+    /// The member refuses the command because its queue is full.
     Busy,
-    /// The command runs, and its answer never comes.
+    /// The command runs, and its answer never arrives.
     NoAnswer,
 };
 
@@ -53,7 +53,7 @@
     std::map<std::string, std::string> items;
     std::size_t connections = 0;
     std::size_t connectionLimit = 100;
-    /// Called before each command of a caller.
+    /// Selects the fault for each command of a caller; not called for the proxy's own commands.
     std::function<Trouble(const Command &)> trouble;
 };
 
@@ -66,17 +66,17 @@
     auto member(const std::string &id) -> FakeMember &;
     [[nodiscard]] auto view() const -> std::shared_ptr<membership::ClusterView>;
 
-    /// Has the replicas apply all that the primary has.
+    /// Copies the primary's items and log position to all replicas.
     auto replicate() -> void;
 
-    /// Makes \p id the primary of the next term with what it has.
+    /// Makes \p id the primary of the next term, with its present items.
     auto promote(const std::string &id) -> void;
 
     std::vector<FakeMember> members;
     std::vector<Seen> seen;
     std::size_t connectionsMade = 0;
     membership::ServiceView service;
-    /// Primary as the proxy's view names it.
+    /// The primary in the proxy's view.
     std::string viewedPrimary = "a";
     std::uint64_t revision = 1;
 };
--- a/unittests/Interactive/linkpooltest.cpp
+++ b/unittests/Interactive/linkpooltest.cpp
@@ -22,7 +22,7 @@
 namespace asio = boost::asio;
 using namespace std::chrono_literals;
 
-/// A pool whose upstream takes four links and works on one statement.
+/// A pool with one upstream that has four connections and a single slot.
 struct OneSlot
 {
     OneSlot()
@@ -92,9 +92,9 @@
 
 } // namespace
 
-TEST_CASE("statements beyond the upstream's slots wait in the pool, and the most urgent goes first")
+TEST_CASE("statements beyond the upstream's slots wait in the pool, and the most urgent one is served first")
 {
-    // A booking comes while reads wait for the only slot. Sent on, all would wait in the upstream in order of arrival.
+    // A booking arrives while reads wait for the only slot. Queued at the upstream, all would run in order of arrival.
     auto upstream = OneSlot();
     const auto first = upstream.acquire(2);
     REQUIRE(OneSlot::isHeld(first));
@@ -111,10 +111,10 @@
     CHECK(OneSlot::isHeld(read));
 }
 
-TEST_CASE("a transaction whose caller pauses keeps its link and no slot")
+TEST_CASE("a connection that is idle in transaction keeps no slot")
 {
-    // A caller pauses inside a transaction. It holds a connection, but the upstream does nothing for it; counted as work it would keep all
-    // others out. When it goes on it is served at once, since it holds what others need.
+    // A caller pauses inside a transaction. It holds a connection, but the upstream does no work for it; if it kept its slot, no other
+    // caller would be served. Its next statement is served at once, since the transaction holds resources that others need.
     auto upstream = OneSlot();
     const auto paused = upstream.acquire(2);
     upstream.run(paused, {commandOf(CommandKind::Begin), commandOf(CommandKind::Run, "STORE item 1")});
@@ -130,7 +130,7 @@
     CHECK(upstream.pool->counts().idle == 2);
 }
 
-TEST_CASE("a link that is dropped while its transaction rests leaves the counts right")
+TEST_CASE("dropping a connection that is idle in transaction keeps the counts correct")
 {
     auto upstream = OneSlot();
     {
@@ -143,10 +143,10 @@
     CHECK(OneSlot::isHeld(upstream.acquire(2)));
 }
 
-TEST_CASE("an upstream that could not be reached is left alone for a moment, and refused at once meanwhile")
+TEST_CASE("an unreachable upstream is not connected to until a probe succeeds, and requests for it fail at once")
 {
-    // The upstream is cut off from this proxy. Each statement that tried to connect would wait for the whole time that a connection may
-    // take; told at once, its proxy goes to another owner.
+    // The upstream is partitioned from this proxy. Each statement that tries to connect would wait until the connect limit. When it is
+    // refused at once, its proxy can try another owner.
     auto upstream = OneSlot();
     upstream.databases.member("a").reachable = false;
     const auto first = upstream.acquire(2);
@@ -163,10 +163,10 @@
     CHECK(OneSlot::isHeld(upstream.acquire(2)));
 }
 
-TEST_CASE("what waits for a link to an upstream that went dark is told at once")
+TEST_CASE("waiters for a connection to an upstream that becomes unreachable are refused at once")
 {
-    // All links are taken by statements that get no answer. Who waits for one of them would be refused after half of its time, while it
-    // could have gone to another member, or waited for the next primary.
+    // Statements without an answer occupy all connections. A statement that waits for one of them would be refused only after half of its
+    // time, although it could have gone to another member or waited for the next primary.
     auto slot = OneSlot();
     slot.pool->setLimits(UpstreamId("a"), {1, 1});
     const auto lost = slot.acquire(0);
@@ -186,7 +186,7 @@
         CHECK(std::get<FailureReply>(**next).failure == Failure::Unreachable);
         CHECK(slot.pool->counts(UpstreamId("a")).waiting == 0);
     }
-    SECTION("but not for one that still takes connections")
+    SECTION("but not if the upstream still accepts connections")
     {
         slot.io.restart();
         slot.io.run_for(150ms);
@@ -194,10 +194,10 @@
     }
 }
 
-TEST_CASE("a statement whose answer is lost keeps no others from an idle upstream")
+TEST_CASE("a statement whose answer is lost does not block an idle upstream")
 {
-    // The caller sees: statements refused for seconds at an upstream that is idle. It runs statements whose answers get lost; each of them waits
-    // for its whole time, and holds the slot that the next one waits for.
+    // Failure: callers are refused for seconds although the upstream is idle. The answers to some statements are lost; each of these
+    // statements waits until its deadline and would keep the slot that the next one needs.
     auto slot = OneSlot();
     const auto lost = slot.acquire(0);
     slot.databases.member("a").trouble = [](const Command &) {
@@ -210,7 +210,7 @@
     slot.io.run_for(150ms);
     CHECK(OneSlot::isHeld(next));
     CHECK(slot.pool->counts(UpstreamId("a")).resting == 1);
-    // The link of the lost statement counts as taken until its time is over, and leaves no trace then.
+    // The connection of the lost statement stays busy until the time limit of the exchange; afterwards the counts are correct again.
     slot.io.restart();
     slot.io.run_for(1s);
     std::get<LinkLease>(**lost).giveBack();
--- a/unittests/Interactive/sessionfixture.h
+++ b/unittests/Interactive/sessionfixture.h
@@ -1,4 +1,4 @@
-// sessionfixture.h: sessions of one proxy before a fake group.
+// sessionfixture.h: sessions of one proxy in front of a fake database group.
 #pragma once
 
 #include "Interactive/fakedatabases.h"
@@ -40,7 +40,7 @@
     std::size_t retries = 0;
 };
 
-/// One proxy with its sessions.
+/// One proxy, its sessions and the fake databases behind it.
 struct Proxy
 {
     explicit Proxy(membership::Consistency consistency, std::chrono::milliseconds readAge = std::chrono::milliseconds(0))
@@ -61,7 +61,7 @@
         this->service = makeSessionService(std::move(parts));
     }
 
-    /// Gives the proxy the view that the databases' fields describe.
+    /// Publishes the view that the fields of `databases` describe to the proxy.
     auto publish() -> void
     {
         this->views->publish(this->databases.view());
@@ -77,7 +77,8 @@
         return std::get<std::shared_ptr<Session>>(this->service->open("orders"));
     }
 
-    /// Starts \p statement; the answer is there once the loop has run.
+    /// Starts \p statement.
+    /// \return its reply, which is set once the event loop has run the statement
     auto start(const std::shared_ptr<Session> &session, Statement statement) -> std::shared_ptr<std::optional<Reply>>
     {
         auto place = std::make_shared<std::optional<Reply>>();
@@ -96,7 +97,7 @@
         return place->value();
     }
 
-    /// Lets what is ready run, and time pass.
+    /// Runs the event loop for \p time.
     auto pass(std::chrono::milliseconds time) -> void
     {
         this->io.restart();
