--- a/include/sapphirespool/Interactive/linkpool.h
+++ b/include/sapphirespool/Interactive/linkpool.h
@@ -39,11 +39,11 @@
     auto giveBack() -> void;
 
 private:
-    auto drop() -> void;
+    auto closeIfLeased() -> void;
 
     std::weak_ptr<LinkPool> pool;
     UpstreamId upstreamId;
-    std::shared_ptr<UpstreamLink> held;
+    std::shared_ptr<UpstreamLink> leased;
 };
 
 /// A statement's request for a connection, and its position in the queue.
@@ -83,7 +83,7 @@
     std::size_t busy = 0;
     std::size_t waiting = 0;
     /// Busy connections that take none of the upstream's slots, for example because they are idle in transaction.
-    std::size_t resting = 0;
+    std::size_t withoutSlot = 0;
 };
 
 /// Pools connections by upstream, up to the limit of each upstream. All calls run on the executor.
--- a/include/sapphirespool/Interactive/upstreamload.h
+++ b/include/sapphirespool/Interactive/upstreamload.h
@@ -31,24 +31,24 @@
 {
 public:
     /// Weight of the newest time in the average, so that about the last five times count.
-    static constexpr auto newest = 0.2;
+    static constexpr auto newestWeight = 0.2;
     /// Time after which an average without new values counts for half.
     static constexpr auto halfLife = std::chrono::milliseconds(2'000);
     /// Backoff during which a failed member is the last choice; doubled for each further failure, up to the limit.
-    static constexpr auto firstRest = std::chrono::milliseconds(100);
-    static constexpr auto longestRest = std::chrono::milliseconds(2'000);
+    static constexpr auto firstBackoff = std::chrono::milliseconds(100);
+    static constexpr auto longestBackoff = std::chrono::milliseconds(2'000);
     /// A member that lacks the position that a read requires is the last choice for this fraction of its lag, within the bounds. A member
     /// with a replication delay of some tens of milliseconds catches up almost at once, one that is ten seconds behind does not.
     /// Each read that it refuses costs a round trip and a position in a queue. The upper bound limits how long its recovery goes
     /// unnoticed.
-    static constexpr auto lagPart = 4;
-    static constexpr auto shortestLagRest = std::chrono::milliseconds(60);
-    static constexpr auto longestLagRest = std::chrono::milliseconds(1'000);
+    static constexpr auto lagDivisor = 4;
+    static constexpr auto shortestLagBackoff = std::chrono::milliseconds(60);
+    static constexpr auto longestLagBackoff = std::chrono::milliseconds(1'000);
     /// Lower bound of the expected time, so that the network path between zones, some milliseconds, counts against an idle member in another
     /// zone.
-    static constexpr auto floor = std::chrono::milliseconds(5);
+    static constexpr auto leastExpectedTime = std::chrono::milliseconds(5);
     /// Added to the expected time of a member in another zone, for the round trip and the cost of traffic between zones.
-    static constexpr auto otherZone = std::chrono::milliseconds(3);
+    static constexpr auto crossZonePenalty = std::chrono::milliseconds(3);
     /// The primary also serves all writes and transactions, so a read there delays work that no other member can do. With this weight it
     /// gets reads only when the replicas are twice as busy.
     static constexpr auto primaryWeight = 2.0;
@@ -73,9 +73,9 @@
     struct Member
     {
         double averageMs = 0.0;
-        TimePoint noted{};
-        TimePoint restsUntil{};
-        std::chrono::milliseconds rest{0};
+        TimePoint updatedAt{};
+        TimePoint backoffUntil{};
+        std::chrono::milliseconds backoff{0};
     };
 
     [[nodiscard]] auto expectedMs(const ReadCandidate &candidate, TimePoint now) const -> double;
--- a/lib/Interactive/linklease.cpp
+++ b/lib/Interactive/linklease.cpp
@@ -8,29 +8,29 @@
 LinkLease::LinkLease(std::weak_ptr<LinkPool> pool, UpstreamId upstream, std::shared_ptr<UpstreamLink> link)
     : pool(std::move(pool))
     , upstreamId(std::move(upstream))
-    , held(std::move(link))
+    , leased(std::move(link))
 {
 }
 
 LinkLease::~LinkLease()
 {
-    this->drop();
+    this->closeIfLeased();
 }
 
 auto LinkLease::operator=(LinkLease &&other) noexcept -> LinkLease &
 {
     if (this != &other) {
-        this->drop();
+        this->closeIfLeased();
         this->pool = std::move(other.pool);
         this->upstreamId = std::move(other.upstreamId);
-        this->held = std::move(other.held);
+        this->leased = std::move(other.leased);
     }
     return *this;
 }
 
 auto LinkLease::link() const -> UpstreamLink &
 {
-    return *this->held;
+    return *this->leased;
 }
 
 auto LinkLease::upstream() const -> const UpstreamId &
@@ -40,17 +40,17 @@
 
 auto LinkLease::giveBack() -> void
 {
-    if (const auto owner = this->pool.lock(); owner != nullptr && this->held != nullptr) {
-        owner->returned(this->upstreamId, std::exchange(this->held, nullptr), true);
+    if (const auto owner = this->pool.lock(); owner != nullptr && this->leased != nullptr) {
+        owner->returned(this->upstreamId, std::exchange(this->leased, nullptr), true);
     }
 }
 
-auto LinkLease::drop() -> void
+auto LinkLease::closeIfLeased() -> void
 {
-    if (this->held == nullptr) {
+    if (this->leased == nullptr) {
         return;
     }
-    const auto link = std::exchange(this->held, nullptr);
+    const auto link = std::exchange(this->leased, nullptr);
     if (const auto owner = this->pool.lock()) {
         owner->returned(this->upstreamId, link, false);
     } else {
--- a/lib/Interactive/linkplace.h
+++ b/lib/Interactive/linkplace.h
@@ -22,7 +22,7 @@
 {
 
 /// Limits of an upstream before this proxy's share of it is known.
-constexpr auto firstLimits = LinkLimits{1, 1};
+constexpr auto initialLimits = LinkLimits{1, 1};
 
 /// A session that waits for a connection.
 struct Waiter
@@ -35,7 +35,7 @@
     boost::asio::steady_timer timer;
     bool takesSlot = true;
     /// The connection that became available.
-    std::shared_ptr<MeteredLink> link;
+    std::shared_ptr<MeteredConnection> link;
     /// Whether the waiter may open a connection; the pool already counts it as busy.
     bool mayOpen = false;
     /// Whether the upstream became unreachable during the wait.
@@ -43,14 +43,14 @@
 };
 
 /// The connections to one upstream and the sessions that wait for them.
-struct Place
+struct UpstreamEntry
 {
-    LinkLimits limits = firstLimits;
+    LinkLimits limits = initialLimits;
     /// Most recently used last.
-    std::vector<std::shared_ptr<MeteredLink>> idle;
+    std::vector<std::shared_ptr<MeteredConnection>> idle;
     std::size_t busy = 0;
     /// Busy connections that take none of the upstream's slots.
-    std::size_t resting = 0;
+    std::size_t withoutSlot = 0;
     decisions::StatementQueue queue;
     std::map<decisions::StatementQueue::Ticket, std::shared_ptr<Waiter>> waiters;
     /// Time from sending a statement that takes a slot to its answer.
@@ -60,22 +60,22 @@
     membership::UpstreamView upstream;
     support::Presence presence;
     /// Limits the log lines about an upstream that alternates between reachable and unreachable.
-    support::LogBudget lines{1.0};
+    support::LogBudget logBudget{1.0};
     /// Whether a background probe of the unreachable upstream is running.
-    bool lookedFor = false;
+    bool isProbed = false;
     /// When it was last probed because of overdue statements.
-    TimePoint overdueLookAt{};
+    TimePoint overdueProbeAt{};
     /// The newest position proof from the upstream.
     std::optional<PositionProof> proof = {};
 
-    [[nodiscard]] auto hasRoom() const -> bool
+    [[nodiscard]] auto canOpen() const -> bool
     {
         return this->idle.size() + this->busy < this->limits.links;
     }
 
     [[nodiscard]] auto hasSlot() const -> bool
     {
-        return this->busy - this->resting < this->limits.statements;
+        return this->busy - this->withoutSlot < this->limits.statements;
     }
 };
 
--- a/lib/Interactive/linkpool.cpp
+++ b/lib/Interactive/linkpool.cpp
@@ -32,28 +32,28 @@
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
 /// Retry delay for callers that met an unreachable upstream: about the time until the pool's probes find the upstream reachable again.
-constexpr auto unreachableRetry = std::chrono::duration_cast<std::chrono::milliseconds>(support::Presence::longestPause);
+constexpr auto unreachableRetryDelay = std::chrono::duration_cast<std::chrono::milliseconds>(support::Presence::longestPause);
 
 /// Time limit of a probe. It is longer than that of a probe on which statements wait, because an overloaded proxy or network path must
 /// not make a live upstream count as unreachable.
-constexpr auto lookLimit = 2 * http::reachLimit;
+constexpr auto probeLimit = 2 * http::reachLimit;
 
 /// Minimum time between two probes of an upstream with overdue statements. Such an upstream is slow, or its answers are lost, for
 /// seconds at a time.
-constexpr auto overdueLookSpacing = std::chrono::milliseconds(500);
+constexpr auto overdueProbeSpacing = std::chrono::milliseconds(500);
 
 /// Lower bound of the time after which a statement is overdue: a few times the duration of most statements.
-constexpr auto soonestOverdue = std::chrono::milliseconds(100);
+constexpr auto shortestOverdueLimit = std::chrono::milliseconds(100);
 
 auto unreachableReply(const UpstreamId &upstream) -> FailureReply
 {
-    return {Failure::Unreachable, upstream.value() + " could not be reached a moment ago", unreachableRetry};
+    return {Failure::Unreachable, upstream.value() + " could not be reached a moment ago", unreachableRetryDelay};
 }
 
-class PlainLinkPool : public LinkPool, public WorkMeter, public std::enable_shared_from_this<PlainLinkPool>
+class LocalConnectionPool : public LinkPool, public SlotObserver, public std::enable_shared_from_this<LocalConnectionPool>
 {
 public:
-    PlainLinkPool(std::shared_ptr<LinkConnector> connector, asio::any_io_executor executor)
+    LocalConnectionPool(std::shared_ptr<LinkConnector> connector, asio::any_io_executor executor)
         : connector(std::move(connector))
         , executor(std::move(executor))
         , proving(this->executor)
@@ -64,32 +64,32 @@
     {
         const auto self = this->shared_from_this();
         const auto id = upstream.id;
-        auto &place = this->places[id];
-        place.retired = false;
-        place.upstream = upstream;
-        if (place.idle.empty() && !place.presence.isPresent()) {
+        auto &entry = this->entries[id];
+        entry.retired = false;
+        entry.upstream = upstream;
+        if (entry.idle.empty() && !entry.presence.isPresent()) {
             co_return unreachableReply(id);
         }
-        if (!claim.takesSlot || (place.waiters.empty() && place.hasSlot())) {
-            if (auto link = takeIdle(place, claim.values)) {
-                this->occupy(place, claim.takesSlot);
+        if (!claim.takesSlot || (entry.waiters.empty() && entry.hasSlot())) {
+            if (auto link = takeIdle(entry, claim.values)) {
+                this->occupy(entry, claim.takesSlot);
                 co_return this->lease(id, std::move(link), claim.takesSlot);
             }
-            if (place.hasRoom()) {
-                this->occupy(place, claim.takesSlot);
+            if (entry.canOpen()) {
+                this->occupy(entry, claim.takesSlot);
                 co_return co_await this->open(std::move(group), std::move(upstream), claim);
             }
         }
         const auto now = support::now();
         const auto statement = decisions::QueuedStatement{claim.priority, now + claim.objective, claim.takesSlot};
-        const auto wait = expectedWait(place, statement, now);
-        if (place.queue.isFullFor(statement, now, wait)) {
+        const auto wait = expectedWait(entry, statement, now);
+        if (entry.queue.isFullFor(statement, now, wait)) {
             co_return busyReply("too many statements wait for " + id.value(), wait);
         }
-        const auto ticket = place.queue.push(statement);
+        const auto ticket = entry.queue.push(statement);
         const auto waiter = std::make_shared<Waiter>(this->executor);
         waiter->takesSlot = claim.takesSlot;
-        place.waiters.emplace(ticket, waiter);
+        entry.waiters.emplace(ticket, waiter);
         waiter->timer.expires_after(claim.patience);
         co_await waiter->timer.async_wait(awaitTuple);
         if (waiter->link != nullptr) {
@@ -101,10 +101,10 @@
         if (waiter->unreachable) {
             co_return unreachableReply(id);
         }
-        auto &left = this->places[id];
-        left.queue.erase(ticket);
-        left.waiters.erase(ticket);
-        co_return busyReply("no connection to " + id.value() + " came free in time", expectedWait(left, statement, support::now()));
+        auto &current = this->entries[id];
+        current.queue.erase(ticket);
+        current.waiters.erase(ticket);
+        co_return busyReply("no connection to " + id.value() + " came free in time", expectedWait(current, statement, support::now()));
     }
 
     auto probe(GroupId group, membership::UpstreamView upstream, Duration limit, bool thorough) -> asio::awaitable<std::optional<FailureReply>> override
@@ -150,98 +150,98 @@
         }
         auto proof = co_await proveOn(*lease, limit);
         if (proof) {
-            this->places[id].proof = proof;
+            this->entries[id].proof = proof;
         }
         co_return proof;
     }
 
     auto setLimits(const UpstreamId &upstream, const LinkLimits &limits) -> void override
     {
-        auto &place = this->places[upstream];
-        place.limits = limits;
-        while (!place.idle.empty() && place.idle.size() + place.busy > limits.links) {
-            place.idle.front()->close();
-            place.idle.erase(place.idle.begin());
-        }
-        this->serveWaiters(place);
-        this->forgetIfUnused(upstream);
+        auto &entry = this->entries[upstream];
+        entry.limits = limits;
+        while (!entry.idle.empty() && entry.idle.size() + entry.busy > limits.links) {
+            entry.idle.front()->close();
+            entry.idle.erase(entry.idle.begin());
+        }
+        this->serveWaiters(entry);
+        this->eraseIfUnused(upstream);
     }
 
     auto retire(const UpstreamId &upstream) -> void override
     {
-        const auto found = this->places.find(upstream);
-        if (found == this->places.end()) {
+        const auto found = this->entries.find(upstream);
+        if (found == this->entries.end()) {
             return;
         }
-        auto &place = found->second;
-        place.retired = true;
-        for (const auto &link : place.idle) {
+        auto &entry = found->second;
+        entry.retired = true;
+        for (const auto &link : entry.idle) {
             link->close();
         }
-        place.idle.clear();
+        entry.idle.clear();
     }
 
     [[nodiscard]] auto counts(const UpstreamId &upstream) const -> LinkCounts override
     {
-        const auto found = this->places.find(upstream);
-        return found == this->places.end() ? LinkCounts() : countsOf(found->second);
+        const auto found = this->entries.find(upstream);
+        return found == this->entries.end() ? LinkCounts() : countsOf(found->second);
     }
 
     [[nodiscard]] auto counts() const -> LinkCounts override
     {
         auto sum = LinkCounts();
-        for (const auto &[id, place] : this->places) {
-            const auto part = countsOf(place);
+        for (const auto &[id, entry] : this->entries) {
+            const auto part = countsOf(entry);
             sum.idle += part.idle;
             sum.busy += part.busy;
             sum.waiting += part.waiting;
-            sum.resting += part.resting;
+            sum.withoutSlot += part.withoutSlot;
         }
         return sum;
     }
 
-    auto rested(const UpstreamId &upstream) -> void override
+    auto slotReleased(const UpstreamId &upstream) -> void override
     {
-        auto &place = this->places[upstream];
-        ++place.resting;
-        this->serveWaiters(place);
+        auto &entry = this->entries[upstream];
+        ++entry.withoutSlot;
+        this->serveWaiters(entry);
     }
 
-    auto resumed(const UpstreamId &upstream) -> void override
+    auto slotTaken(const UpstreamId &upstream) -> void override
     {
-        --this->places[upstream].resting;
+        --this->entries[upstream].withoutSlot;
     }
 
-    auto worked(const UpstreamId &upstream, Duration took) -> void override
+    auto commandAnswered(const UpstreamId &upstream, Duration took) -> void override
     {
-        this->places[upstream].serviceTime.record(took);
+        this->entries[upstream].serviceTime.record(took);
     }
 
-    auto overdue(const UpstreamId &upstream) -> void override
+    auto commandOverdue(const UpstreamId &upstream) -> void override
     {
-        auto &place = this->places[upstream];
+        auto &entry = this->entries[upstream];
         const auto now = support::now();
-        if (place.presence.isPresent() && now - place.overdueLookAt >= overdueLookSpacing) {
-            place.overdueLookAt = now;
-            asio::co_spawn(this->executor, lookAtOverdue(this->shared_from_this(), upstream), asio::detached);
+        if (entry.presence.isPresent() && now - entry.overdueProbeAt >= overdueProbeSpacing) {
+            entry.overdueProbeAt = now;
+            asio::co_spawn(this->executor, probeOverdue(this->shared_from_this(), upstream), asio::detached);
         }
     }
 
-    [[nodiscard]] auto overdueAfter(const UpstreamId &upstream) const -> Duration override
+    [[nodiscard]] auto overdueLimit(const UpstreamId &upstream) const -> Duration override
     {
-        const auto found = this->places.find(upstream);
-        return found == this->places.end() ? soonestOverdue : std::max<Duration>(soonestOverdue, found->second.serviceTime.high());
+        const auto found = this->entries.find(upstream);
+        return found == this->entries.end() ? shortestOverdueLimit : std::max<Duration>(shortestOverdueLimit, found->second.serviceTime.high());
     }
 
 private:
-    static auto countsOf(const Place &place) -> LinkCounts
+    static auto countsOf(const UpstreamEntry &entry) -> LinkCounts
     {
-        return {place.idle.size(), place.busy, place.waiters.size(), place.resting};
+        return {entry.idle.size(), entry.busy, entry.waiters.size(), entry.withoutSlot};
     }
 
-    static auto expectedWait(const Place &place, const decisions::QueuedStatement &statement, TimePoint now) -> Duration
+    static auto expectedWait(const UpstreamEntry &entry, const decisions::QueuedStatement &statement, TimePoint now) -> Duration
     {
-        return place.queue.expectedWait(statement, now, place.serviceTime.mean(), std::min(place.limits.statements, place.limits.links));
+        return entry.queue.expectedWait(statement, now, entry.serviceTime.mean(), std::min(entry.limits.statements, entry.limits.links));
     }
 
     static auto busyReply(std::string detail, Duration wait) -> FailureReply
@@ -252,39 +252,39 @@
         return {Failure::Busy, std::move(detail), std::max(soonest, std::chrono::ceil<std::chrono::milliseconds>(wait))};
     }
 
-    auto occupy(Place &place, bool takesSlot) -> void
+    auto occupy(UpstreamEntry &entry, bool takesSlot) -> void
     {
-        ++place.busy;
-        place.resting += takesSlot ? 0 : 1;
+        ++entry.busy;
+        entry.withoutSlot += takesSlot ? 0 : 1;
     }
 
-    static auto takeIdle(Place &place, const SessionValues &wanted) -> std::shared_ptr<MeteredLink>
+    static auto takeIdle(UpstreamEntry &entry, const SessionValues &wanted) -> std::shared_ptr<MeteredConnection>
     {
-        std::erase_if(place.idle, [](const std::shared_ptr<MeteredLink> &link) {
+        std::erase_if(entry.idle, [](const std::shared_ptr<MeteredConnection> &link) {
             if (!link->isUsable()) {
                 link->close();
                 return true;
             }
             return false;
         });
-        if (place.idle.empty()) {
+        if (entry.idle.empty()) {
             return nullptr;
         }
-        auto found = std::find_if(place.idle.rbegin(), place.idle.rend(), [&wanted](const std::shared_ptr<MeteredLink> &link) {
+        auto found = std::find_if(entry.idle.rbegin(), entry.idle.rend(), [&wanted](const std::shared_ptr<MeteredConnection> &link) {
             return link->state.values == wanted;
         });
-        if (found == place.idle.rend()) {
-            found = place.idle.rbegin();
+        if (found == entry.idle.rend()) {
+            found = entry.idle.rbegin();
         }
         auto link = std::move(*found);
-        place.idle.erase(std::next(found).base());
+        entry.idle.erase(std::next(found).base());
         return link;
     }
 
     [[nodiscard]] auto provenSince(const UpstreamId &upstream, TimePoint moment) const -> std::optional<PositionProof>
     {
-        const auto found = this->places.find(upstream);
-        const auto covers = found != this->places.end() && found->second.proof && found->second.proof->sent >= moment;
+        const auto found = this->entries.find(upstream);
+        const auto covers = found != this->entries.end() && found->second.proof && found->second.proof->sent >= moment;
         return covers ? found->second.proof : std::nullopt;
     }
 
@@ -304,9 +304,9 @@
     }
 
     /// Leases a connection that occupy() has already counted.
-    auto lease(const UpstreamId &upstream, std::shared_ptr<MeteredLink> link, bool takesSlot) -> LeaseResult
+    auto lease(const UpstreamId &upstream, std::shared_ptr<MeteredConnection> link, bool takesSlot) -> LeaseResult
     {
-        link->resting = !takesSlot;
+        link->withoutSlot = !takesSlot;
         return LinkLease(this->weak_from_this(), upstream, std::move(link));
     }
 
@@ -316,143 +316,143 @@
         const auto id = upstream.id;
         auto result = co_await this->connector->connect(std::move(group), std::move(upstream), claim.connectLimit);
         if (auto *const link = std::get_if<std::shared_ptr<UpstreamLink>>(&result)) {
-            noteBack(id, this->places[id]);
-            auto metered = std::make_shared<MeteredLink>(std::move(*link), this->weak_from_this(), id);
+            markReachable(id, this->entries[id]);
+            auto metered = std::make_shared<MeteredConnection>(std::move(*link), this->weak_from_this(), id);
             co_return this->lease(id, std::move(metered), claim.takesSlot);
         }
-        auto &place = this->places[id];
-        --place.busy;
-        place.resting -= claim.takesSlot ? 0 : 1;
+        auto &entry = this->entries[id];
+        --entry.busy;
+        entry.withoutSlot -= claim.takesSlot ? 0 : 1;
         auto why = std::get<FailureReply>(std::move(result));
         if (why.failure == Failure::Unreachable) {
-            this->leaveAlone(id, place);
+            this->markUnreachable(id, entry);
         }
-        this->serveWaiters(place);
+        this->serveWaiters(entry);
         co_return why;
     }
 
     /// Marks \p upstream as unreachable, refuses all its waiters and probes it in the background until it is reachable again.
-    auto leaveAlone(const UpstreamId &upstream, Place &place) -> void
+    auto markUnreachable(const UpstreamId &upstream, UpstreamEntry &entry) -> void
     {
         const auto now = support::now();
-        if (place.presence.failed(now) && place.lines.tryTake(now)) {
-            support::log(support::Event::UpstreamAway, {{"upstream", upstream.value()}, {"waiting", place.waiters.size()}, {"busy", place.busy}});
+        if (entry.presence.failed(now) && entry.logBudget.tryTake(now)) {
+            support::log(support::Event::UpstreamAway, {{"upstream", upstream.value()}, {"waiting", entry.waiters.size()}, {"busy", entry.busy}});
         }
         // A network partition does not close connections. A statement sent on one of them would wait until its deadline.
-        for (const auto &link : place.idle) {
+        for (const auto &link : entry.idle) {
             link->close();
         }
-        place.idle.clear();
-        for (const auto &[ticket, waiter] : std::exchange(place.waiters, {})) {
-            place.queue.erase(ticket);
+        entry.idle.clear();
+        for (const auto &[ticket, waiter] : std::exchange(entry.waiters, {})) {
+            entry.queue.erase(ticket);
             waiter->unreachable = true;
             waiter->timer.cancel();
         }
-        if (!std::exchange(place.lookedFor, true)) {
-            asio::co_spawn(this->executor, lookFor(this->shared_from_this(), upstream), asio::detached);
+        if (!std::exchange(entry.isProbed, true)) {
+            asio::co_spawn(this->executor, probeUntilReachable(this->shared_from_this(), upstream), asio::detached);
         }
     }
 
-    static auto noteBack(const UpstreamId &upstream, Place &place) -> void
+    static auto markReachable(const UpstreamId &upstream, UpstreamEntry &entry) -> void
     {
         const auto now = support::now();
-        if (place.presence.answered() && place.lines.tryTake(now)) {
-            support::log(support::Event::UpstreamBack, {{"upstream", upstream.value()}, {"away_ms", now - place.presence.missedSince()}});
+        if (entry.presence.answered() && entry.logBudget.tryTake(now)) {
+            support::log(support::Event::UpstreamBack, {{"upstream", upstream.value()}, {"away_ms", now - entry.presence.missedSince()}});
         }
     }
 
-    static auto lookFor(std::shared_ptr<PlainLinkPool> self, UpstreamId upstream) -> asio::awaitable<void>
+    static auto probeUntilReachable(std::shared_ptr<LocalConnectionPool> self, UpstreamId upstream) -> asio::awaitable<void>
     {
         auto pause = asio::steady_timer(self->executor);
-        auto found = self->places.find(upstream);
-        while (found != self->places.end() && !found->second.presence.isPresent() && !found->second.retired) {
+        auto found = self->entries.find(upstream);
+        while (found != self->entries.end() && !found->second.presence.isPresent() && !found->second.retired) {
             pause.expires_after(found->second.presence.nextPause());
             co_await pause.async_wait(awaitTuple);
-            co_await self->lookOnce(upstream);
-            found = self->places.find(upstream);
+            co_await self->probeOnce(upstream);
+            found = self->entries.find(upstream);
         }
-        if (found != self->places.end()) {
+        if (found != self->entries.end()) {
             // If the upstream was retired meanwhile, a later request for it connects again.
             found->second.presence.answered();
-            found->second.lookedFor = false;
+            found->second.isProbed = false;
         }
     }
 
     /// Probes \p upstream and marks it as reachable if it accepts the connection.
     /// \return whether it is reachable, or no longer in the pool
-    auto lookOnce(UpstreamId upstream) -> asio::awaitable<bool>
+    auto probeOnce(UpstreamId upstream) -> asio::awaitable<bool>
     {
-        const auto known = this->places.find(upstream);
-        if (known == this->places.end()) {
+        const auto known = this->entries.find(upstream);
+        if (known == this->entries.end()) {
             co_return true;
         }
-        const auto reached = co_await this->connector->reaches(known->second.upstream, lookLimit);
-        const auto present = this->places.find(upstream);
-        if (reached && present != this->places.end()) {
-            noteBack(upstream, present->second);
+        const auto reached = co_await this->connector->reaches(known->second.upstream, probeLimit);
+        const auto present = this->entries.find(upstream);
+        if (reached && present != this->entries.end()) {
+            markReachable(upstream, present->second);
         }
         co_return reached;
     }
 
-    static auto lookAtOverdue(std::shared_ptr<PlainLinkPool> self, UpstreamId upstream) -> asio::awaitable<void>
+    static auto probeOverdue(std::shared_ptr<LocalConnectionPool> self, UpstreamId upstream) -> asio::awaitable<void>
     {
-        const auto reached = co_await self->lookOnce(upstream);
-        const auto found = self->places.find(upstream);
-        if (!reached && found != self->places.end()) {
-            self->leaveAlone(upstream, found->second);
+        const auto reached = co_await self->probeOnce(upstream);
+        const auto found = self->entries.find(upstream);
+        if (!reached && found != self->entries.end()) {
+            self->markUnreachable(upstream, found->second);
         }
     }
 
     auto returned(const UpstreamId &upstream, std::shared_ptr<UpstreamLink> given, bool clean) -> void override
     {
-        auto &place = this->places[upstream];
+        auto &entry = this->entries[upstream];
         // The pool leases only metered connections.
-        auto link = std::static_pointer_cast<MeteredLink>(std::move(given));
-        --place.busy;
-        place.resting -= std::exchange(link->resting, false) ? 1 : 0;
+        auto link = std::static_pointer_cast<MeteredConnection>(std::move(given));
+        --entry.busy;
+        entry.withoutSlot -= std::exchange(link->withoutSlot, false) ? 1 : 0;
         if (clean) {
-            noteBack(upstream, place);
+            markReachable(upstream, entry);
         }
-        const auto keep = clean && !place.retired && place.idle.size() + place.busy < place.limits.links && link->isUsable();
+        const auto keep = clean && !entry.retired && entry.idle.size() + entry.busy < entry.limits.links && link->isUsable();
         if (keep) {
-            place.idle.push_back(std::move(link));
+            entry.idle.push_back(std::move(link));
         } else {
             link->close();
         }
-        this->serveWaiters(place);
-        this->forgetIfUnused(upstream);
+        this->serveWaiters(entry);
+        this->eraseIfUnused(upstream);
     }
 
-    auto forgetIfUnused(const UpstreamId &upstream) -> void
+    auto eraseIfUnused(const UpstreamId &upstream) -> void
     {
-        const auto &place = this->places[upstream];
-        if (place.limits.links == 0 && place.idle.empty() && place.busy == 0 && place.waiters.empty()) {
-            this->places.erase(upstream);
+        const auto &entry = this->entries[upstream];
+        if (entry.limits.links == 0 && entry.idle.empty() && entry.busy == 0 && entry.waiters.empty()) {
+            this->entries.erase(upstream);
         }
     }
 
-    auto serveWaiters(Place &place) -> void
+    auto serveWaiters(UpstreamEntry &entry) -> void
     {
-        while (!place.idle.empty() || place.hasRoom()) {
-            const auto next = place.queue.pop(support::now(), place.serviceTime.mean(), place.hasSlot());
+        while (!entry.idle.empty() || entry.canOpen()) {
+            const auto next = entry.queue.pop(support::now(), entry.serviceTime.mean(), entry.hasSlot());
             if (!next) {
                 return;
             }
-            const auto waiter = place.waiters.extract(*next).mapped();
-            if (!place.idle.empty()) {
-                waiter->link = std::move(place.idle.back());
-                place.idle.pop_back();
+            const auto waiter = entry.waiters.extract(*next).mapped();
+            if (!entry.idle.empty()) {
+                waiter->link = std::move(entry.idle.back());
+                entry.idle.pop_back();
             } else {
                 waiter->mayOpen = true;
             }
-            this->occupy(place, waiter->takesSlot);
+            this->occupy(entry, waiter->takesSlot);
             waiter->timer.cancel();
         }
     }
 
     std::shared_ptr<LinkConnector> connector;
     asio::any_io_executor executor;
-    std::map<UpstreamId, Place> places;
+    std::map<UpstreamId, UpstreamEntry> entries;
     SingleFlight<UpstreamId> proving;
 };
 
@@ -460,7 +460,7 @@
 
 auto makeLinkPool(std::shared_ptr<LinkConnector> connector, boost::asio::any_io_executor executor) -> std::shared_ptr<LinkPool>
 {
-    return std::make_shared<PlainLinkPool>(std::move(connector), std::move(executor));
+    return std::make_shared<LocalConnectionPool>(std::move(connector), std::move(executor));
 }
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/meteredlink.cpp
+++ b/lib/Interactive/meteredlink.cpp
@@ -37,61 +37,61 @@
 
 } // namespace
 
-MeteredLink::MeteredLink(std::shared_ptr<UpstreamLink> inner, std::weak_ptr<WorkMeter> meter, UpstreamId upstream)
+MeteredConnection::MeteredConnection(std::shared_ptr<UpstreamLink> inner, std::weak_ptr<SlotObserver> observer, UpstreamId upstream)
     : inner(std::move(inner))
-    , meter(std::move(meter))
+    , observer(std::move(observer))
     , upstream(std::move(upstream))
 {
 }
 
-auto MeteredLink::exchange(std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult>
+auto MeteredConnection::exchange(std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult>
 {
-    const auto works = std::any_of(commands.begin(), commands.end(), takesSlot);
-    const auto owner = this->meter.lock();
-    if (works && owner != nullptr && std::exchange(this->resting, false)) {
-        owner->resumed(this->upstream);
+    const auto needsSlot = std::any_of(commands.begin(), commands.end(), takesSlot);
+    const auto owner = this->observer.lock();
+    if (needsSlot && owner != nullptr && std::exchange(this->withoutSlot, false)) {
+        owner->slotTaken(this->upstream);
     }
-    const auto began = support::now();
+    const auto sentAt = support::now();
     const auto timer = std::make_shared<boost::asio::steady_timer>(co_await boost::asio::this_coro::executor);
-    if (works && owner != nullptr) {
-        timer->expires_after(owner->overdueAfter(this->upstream));
+    if (needsSlot && owner != nullptr) {
+        timer->expires_after(owner->overdueLimit(this->upstream));
         this->watchOverdue(timer);
     }
     auto result = co_await this->inner->exchange(commands, limit);
     timer->expires_at(endedExchange);
-    if (works && owner != nullptr && !result.results.empty()) {
-        owner->worked(this->upstream, support::now() - began);
-        if (result.results.back().status == TransactionStatus::Open && !std::exchange(this->resting, true)) {
-            owner->rested(this->upstream);
+    if (needsSlot && owner != nullptr && !result.results.empty()) {
+        owner->commandAnswered(this->upstream, support::now() - sentAt);
+        if (result.results.back().status == TransactionStatus::Open && !std::exchange(this->withoutSlot, true)) {
+            owner->slotReleased(this->upstream);
         }
     }
     co_return result;
 }
 
-auto MeteredLink::watchOverdue(const std::shared_ptr<boost::asio::steady_timer> &timer) -> void
+auto MeteredConnection::watchOverdue(const std::shared_ptr<boost::asio::steady_timer> &timer) -> void
 {
     timer->async_wait([this, timer](const boost::system::error_code &error) {
         // If the timer expires just before the exchange ends, its handler can no longer be cancelled; the connection may be destroyed by then.
         if (error || timer->expiry() == endedExchange) {
             return;
         }
-        const auto owner = this->meter.lock();
+        const auto owner = this->observer.lock();
         if (owner == nullptr) {
             return;
         }
-        if (!std::exchange(this->resting, true)) {
-            owner->rested(this->upstream);
+        if (!std::exchange(this->withoutSlot, true)) {
+            owner->slotReleased(this->upstream);
         }
-        owner->overdue(this->upstream);
+        owner->commandOverdue(this->upstream);
     });
 }
 
-auto MeteredLink::close() -> void
+auto MeteredConnection::close() -> void
 {
     this->inner->close();
 }
 
-auto MeteredLink::isUsable() const -> bool
+auto MeteredConnection::isUsable() const -> bool
 {
     return this->inner->isUsable();
 }
--- a/lib/Interactive/meteredlink.h
+++ b/lib/Interactive/meteredlink.h
@@ -12,24 +12,24 @@
 {
 
 /// Receives the slot changes and command durations that metered connections report.
-class WorkMeter
+class SlotObserver
 {
 public:
-    WorkMeter() = default;
-    WorkMeter(const WorkMeter &) = delete;
-    auto operator=(const WorkMeter &) -> WorkMeter & = delete;
-    virtual ~WorkMeter() = default;
+    SlotObserver() = default;
+    SlotObserver(const SlotObserver &) = delete;
+    auto operator=(const SlotObserver &) -> SlotObserver & = delete;
+    virtual ~SlotObserver() = default;
 
     /// A busy connection no longer takes a slot: its transaction is idle or its command is overdue.
-    virtual auto rested(const UpstreamId &upstream) -> void = 0;
+    virtual auto slotReleased(const UpstreamId &upstream) -> void = 0;
     /// A busy connection without a slot takes one again.
-    virtual auto resumed(const UpstreamId &upstream) -> void = 0;
+    virtual auto slotTaken(const UpstreamId &upstream) -> void = 0;
     /// A command that takes a slot was answered after \p took.
-    virtual auto worked(const UpstreamId &upstream, Duration took) -> void = 0;
-    /// A command that takes a slot has had no answer for overdueAfter().
-    virtual auto overdue(const UpstreamId &upstream) -> void = 0;
+    virtual auto commandAnswered(const UpstreamId &upstream, Duration took) -> void = 0;
+    /// A command that takes a slot has had no answer for overdueLimit().
+    virtual auto commandOverdue(const UpstreamId &upstream) -> void = 0;
     /// \return time without an answer after which a command counts as lost
-    [[nodiscard]] virtual auto overdueAfter(const UpstreamId &upstream) const -> Duration = 0;
+    [[nodiscard]] virtual auto overdueLimit(const UpstreamId &upstream) const -> Duration = 0;
 };
 
 /// Forwards exchanges to another connection and tracks whether this one takes a slot of the upstream.
@@ -41,24 +41,24 @@
 /// the upstream finished it long ago. If they kept their slots, two of them at each proxy that owns connections would keep all callers from
 /// an idle upstream. So an overdue command releases its slot. Its connection stays busy, which bounds the number of such commands by
 /// the connection limit.
-class MeteredLink : public UpstreamLink
+class MeteredConnection : public UpstreamLink
 {
 public:
-    MeteredLink(std::shared_ptr<UpstreamLink> inner, std::weak_ptr<WorkMeter> meter, UpstreamId upstream);
+    MeteredConnection(std::shared_ptr<UpstreamLink> inner, std::weak_ptr<SlotObserver> observer, UpstreamId upstream);
 
     auto exchange(std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult> override;
     auto close() -> void override;
     [[nodiscard]] auto isUsable() const -> bool override;
 
     /// Whether the connection is busy and takes none of the upstream's slots.
-    bool resting = false;
+    bool withoutSlot = false;
 
 private:
     /// Releases the slot of the current exchange when \p timer expires, unless the exchange has ended by then.
     auto watchOverdue(const std::shared_ptr<boost::asio::steady_timer> &timer) -> void;
 
     std::shared_ptr<UpstreamLink> inner;
-    std::weak_ptr<WorkMeter> meter;
+    std::weak_ptr<SlotObserver> observer;
     UpstreamId upstream;
 };
 
--- a/lib/Interactive/primarysearch.cpp
+++ b/lib/Interactive/primarysearch.cpp
@@ -5,8 +5,8 @@
 
 auto PrimarySearch::begin(const GroupId &group, TimePoint now) -> bool
 {
-    const auto [last, isFirst] = this->searched.try_emplace(group, now);
-    if (!isFirst && now - last->second < rest) {
+    const auto [last, isFirst] = this->lastSearch.try_emplace(group, now);
+    if (!isFirst && now - last->second < searchSpacing) {
         return false;
     }
     last->second = now;
@@ -15,21 +15,21 @@
 
 auto PrimarySearch::note(const GroupId &group, Term viewTerm, const UpstreamId &upstream) -> void
 {
-    this->findings.insert_or_assign(group, Finding{viewTerm, upstream});
+    this->foundPrimaries.insert_or_assign(group, FoundPrimary{viewTerm, upstream});
 }
 
 auto PrimarySearch::refute(const GroupId &group, const UpstreamId &upstream) -> void
 {
-    const auto found = this->findings.find(group);
-    if (found != this->findings.end() && found->second.upstream == upstream) {
-        this->findings.erase(found);
+    const auto found = this->foundPrimaries.find(group);
+    if (found != this->foundPrimaries.end() && found->second.upstream == upstream) {
+        this->foundPrimaries.erase(found);
     }
 }
 
 auto PrimarySearch::foundFor(const GroupId &group, Term viewTerm) const -> std::optional<UpstreamId>
 {
-    const auto found = this->findings.find(group);
-    const auto holds = found != this->findings.end() && found->second.viewTerm == viewTerm;
+    const auto found = this->foundPrimaries.find(group);
+    const auto holds = found != this->foundPrimaries.end() && found->second.viewTerm == viewTerm;
     return holds ? std::optional(found->second.upstream) : std::nullopt;
 }
 
--- a/lib/Interactive/primarysearch.h
+++ b/lib/Interactive/primarysearch.h
@@ -21,7 +21,7 @@
 {
 public:
     /// Minimum time between two searches of one group; callers that arrive in between use the last result.
-    static constexpr auto rest = std::chrono::milliseconds(100);
+    static constexpr auto searchSpacing = std::chrono::milliseconds(100);
     /// Wait for a view that names the new primary before a search starts, where control VMs are reachable. The view is the usual way to
     /// learn of a new primary, and costs no requests to the members.
     static constexpr auto viewPatience = std::chrono::milliseconds(150);
@@ -40,14 +40,14 @@
     [[nodiscard]] auto foundFor(const GroupId &group, Term viewTerm) const -> std::optional<UpstreamId>;
 
 private:
-    struct Finding
+    struct FoundPrimary
     {
         Term viewTerm;
         UpstreamId upstream;
     };
 
-    std::map<GroupId, Finding> findings;
-    std::map<GroupId, TimePoint> searched;
+    std::map<GroupId, FoundPrimary> foundPrimaries;
+    std::map<GroupId, TimePoint> lastSearch;
 };
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/primarywatch.cpp
+++ b/lib/Interactive/primarywatch.cpp
@@ -9,7 +9,7 @@
 {
     auto &entry = this->upstreams[upstream];
     if (entry.outstanding == 0) {
-        entry.since = now;
+        entry.lastActivity = now;
     }
     ++entry.outstanding;
 }
@@ -22,23 +22,23 @@
     }
     --found->second.outstanding;
     if (answered) {
-        found->second.since = now;
+        found->second.lastActivity = now;
     }
     if (found->second.outstanding == 0) {
         this->upstreams.erase(found);
     }
 }
 
-auto PrimaryWatch::due(TimePoint now) -> std::vector<Look>
+auto PrimaryWatch::due(TimePoint now) -> std::vector<Probe>
 {
-    auto silent = std::vector<Look>();
+    auto probes = std::vector<Probe>();
     for (auto &[id, upstream] : this->upstreams) {
-        if (now - std::max(upstream.since, upstream.looked) >= silence) {
-            upstream.looked = now;
-            silent.push_back({id, now - upstream.since >= longSilence});
+        if (now - std::max(upstream.lastActivity, upstream.lastProbe) >= probeAfter) {
+            upstream.lastProbe = now;
+            probes.push_back({id, now - upstream.lastActivity >= thoroughProbeAfter});
         }
     }
-    return silent;
+    return probes;
 }
 
 auto PrimaryWatch::isActive() const -> bool
--- a/lib/Interactive/primarywatch.h
+++ b/lib/Interactive/primarywatch.h
@@ -22,19 +22,19 @@
 public:
     /// Time without an answer after which an upstream is probed, and interval of further probes while it stays unresponsive: several
     /// times the duration of most statements.
-    static constexpr auto silence = std::chrono::milliseconds(150);
+    static constexpr auto probeAfter = std::chrono::milliseconds(150);
     /// Time without an answer after which the probe also requires the upstream's greeting. Without it, an upstream that accepts connections
     /// and does no work would never be detected.
-    static constexpr auto longSilence = std::chrono::milliseconds(400);
+    static constexpr auto thoroughProbeAfter = std::chrono::milliseconds(400);
 
     /// An upstream to probe.
     /// `thorough` says whether it must also send its greeting.
-    struct Look
+    struct Probe
     {
         UpstreamId upstream;
         bool thorough = false;
 
-        auto operator==(const Look &) const -> bool = default;
+        auto operator==(const Probe &) const -> bool = default;
     };
 
     auto sent(const UpstreamId &upstream, TimePoint now) -> void;
@@ -43,7 +43,7 @@
     auto ended(const UpstreamId &upstream, bool answered, TimePoint now) -> void;
 
     /// \return the upstreams to probe now; \p now is recorded as the time of their last probe
-    [[nodiscard]] auto due(TimePoint now) -> std::vector<Look>;
+    [[nodiscard]] auto due(TimePoint now) -> std::vector<Probe>;
 
     /// \return whether any statement is outstanding
     [[nodiscard]] auto isActive() const -> bool;
@@ -53,8 +53,8 @@
     {
         std::size_t outstanding = 0;
         /// When it last answered, or when the first statement was sent after a time without outstanding ones.
-        TimePoint since{};
-        TimePoint looked{};
+        TimePoint lastActivity{};
+        TimePoint lastProbe{};
     };
 
     std::map<UpstreamId, Upstream> upstreams;
--- a/lib/Interactive/singleflight.h
+++ b/lib/Interactive/singleflight.h
@@ -52,11 +52,11 @@
     /// \return a new flight, or null if another caller already fetches \p key
     auto begin(const Key &key) -> std::unique_ptr<Flight>
     {
-        const auto [place, isFirst] = this->flights.try_emplace(key);
+        const auto [entry, isFirst] = this->flights.try_emplace(key);
         if (!isFirst) {
             return nullptr;
         }
-        place->second = std::make_shared<boost::asio::steady_timer>(this->executor, boost::asio::steady_timer::time_point::max());
+        entry->second = std::make_shared<boost::asio::steady_timer>(this->executor, boost::asio::steady_timer::time_point::max());
         return std::make_unique<Flight>(*this, key);
     }
 
@@ -65,8 +65,8 @@
     {
         const auto found = this->flights.find(key);
         if (found != this->flights.end()) {
-            const auto landing = found->second;
-            co_await landing->async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
+            const auto completion = found->second;
+            co_await completion->async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
         }
     }
 
--- a/lib/Interactive/upstreamload.cpp
+++ b/lib/Interactive/upstreamload.cpp
@@ -21,24 +21,24 @@
     auto &member = this->members[upstream];
     const auto ms = inMs(time);
     // A time above the average counts for half immediately, because queues grow faster than they drain.
-    member.averageMs = ms > member.averageMs ? (member.averageMs + ms) / 2 : member.averageMs + newest * (ms - member.averageMs);
-    member.noted = now;
-    member.rest = std::chrono::milliseconds(0);
-    member.restsUntil = TimePoint{};
+    member.averageMs = ms > member.averageMs ? (member.averageMs + ms) / 2 : member.averageMs + newestWeight * (ms - member.averageMs);
+    member.updatedAt = now;
+    member.backoff = std::chrono::milliseconds(0);
+    member.backoffUntil = TimePoint{};
 }
 
 auto UpstreamLoad::failed(const UpstreamId &upstream, TimePoint now) -> void
 {
     auto &member = this->members[upstream];
-    member.rest = std::clamp(member.rest * 2, firstRest, longestRest);
-    member.restsUntil = now + member.rest;
+    member.backoff = std::clamp(member.backoff * 2, firstBackoff, longestBackoff);
+    member.backoffUntil = now + member.backoff;
 }
 
 auto UpstreamLoad::lagged(const UpstreamId &upstream, Duration behind, TimePoint now) -> void
 {
     auto &member = this->members[upstream];
-    const auto rest = std::clamp<Duration>(behind / lagPart, shortestLagRest, longestLagRest);
-    member.restsUntil = std::max(member.restsUntil, now + rest);
+    const auto backoff = std::clamp<Duration>(behind / lagDivisor, shortestLagBackoff, longestLagBackoff);
+    member.backoffUntil = std::max(member.backoffUntil, now + backoff);
 }
 
 auto UpstreamLoad::keepOnly(const std::set<UpstreamId> &present) -> void
@@ -58,14 +58,14 @@
 
 auto UpstreamLoad::expectedMs(const ReadCandidate &candidate, TimePoint now) const -> double
 {
-    constexpr auto resting = 1'000'000.0;
-    auto average = inMs(floor);
-    auto penalty = candidate.inOwnZone ? 0.0 : inMs(otherZone);
+    constexpr auto backoffPenaltyMs = 1'000'000.0;
+    auto average = inMs(leastExpectedTime);
+    auto penalty = candidate.inOwnZone ? 0.0 : inMs(crossZonePenalty);
     if (const auto found = this->members.find(candidate.upstream); found != this->members.end()) {
         const auto &member = found->second;
-        const auto faded = member.averageMs * std::exp2(-inMs(now - member.noted) / inMs(halfLife));
-        average = std::max(average, faded);
-        penalty += now < member.restsUntil ? resting : 0.0;
+        const auto decayed = member.averageMs * std::exp2(-inMs(now - member.updatedAt) / inMs(halfLife));
+        average = std::max(average, decayed);
+        penalty += now < member.backoffUntil ? backoffPenaltyMs : 0.0;
     }
     const auto weight = candidate.isPrimary ? primaryWeight : 1.0;
     return weight * average * static_cast<double>(candidate.inUse + 1) + penalty;
--- a/unittests/Interactive/decisionstest.cpp
+++ b/unittests/Interactive/decisionstest.cpp
@@ -66,8 +66,8 @@
     CHECK(load.choose(candidates, start)->upstream == fast);
     const auto busy = std::array{ReadCandidate{fast, false, true, 20}, ReadCandidate{slow, false, true, 0}};
     CHECK(load.choose(busy, start)->upstream == slow);
-    const auto faded = std::array{ReadCandidate{fast, false, true, 1}, ReadCandidate{slow, false, true, 0}};
-    CHECK(load.choose(faded, start + 20s)->upstream == slow);
+    const auto decayed = std::array{ReadCandidate{fast, false, true, 1}, ReadCandidate{slow, false, true, 0}};
+    CHECK(load.choose(decayed, start + 20s)->upstream == slow);
 }
 
 TEST_CASE("reads go to the primary only when the replicas are twice as busy")
@@ -90,11 +90,11 @@
     CHECK(load.choose(candidates, start)->upstream == first);
     load.lagged(first, Duration(0), start);
     CHECK(load.choose(candidates, start)->upstream == second);
-    CHECK(load.choose(candidates, start + UpstreamLoad::shortestLagRest)->upstream == first);
+    CHECK(load.choose(candidates, start + UpstreamLoad::shortestLagBackoff)->upstream == first);
     load.failed(first, start);
     load.failed(first, start);
-    CHECK(load.choose(candidates, start + UpstreamLoad::firstRest)->upstream == second);
-    CHECK(load.choose(candidates, start + 2 * UpstreamLoad::firstRest)->upstream == first);
+    CHECK(load.choose(candidates, start + UpstreamLoad::firstBackoff)->upstream == second);
+    CHECK(load.choose(candidates, start + 2 * UpstreamLoad::firstBackoff)->upstream == first);
 }
 
 TEST_CASE("load: reads do not each try replicas that are seconds behind")
@@ -120,7 +120,7 @@
     }
     CHECK(asked <= 10);
     load.lagged(replica, 200ms, start + 20s);
-    CHECK(load.choose(candidates, start + 20s + UpstreamLoad::shortestLagRest)->upstream == replica);
+    CHECK(load.choose(candidates, start + 20s + UpstreamLoad::shortestLagBackoff)->upstream == replica);
 }
 
 TEST_CASE("a primary is probed when it answers nothing, not when one statement is slow")
@@ -132,12 +132,12 @@
     watch.sent(primary, start + 100ms);
     watch.ended(primary, true, start + 200ms);
     CHECK(watch.due(start + 300ms).empty());
-    const auto firstLook = start + 200ms + PrimaryWatch::silence;
-    CHECK(watch.due(firstLook) == std::vector{PrimaryWatch::Look{primary, false}});
-    CHECK(watch.due(firstLook + 1ms).empty());
-    CHECK(watch.due(firstLook + PrimaryWatch::silence) == std::vector{PrimaryWatch::Look{primary, false}});
+    const auto firstProbe = start + 200ms + PrimaryWatch::probeAfter;
+    CHECK(watch.due(firstProbe) == std::vector{PrimaryWatch::Probe{primary, false}});
+    CHECK(watch.due(firstProbe + 1ms).empty());
+    CHECK(watch.due(firstProbe + PrimaryWatch::probeAfter) == std::vector{PrimaryWatch::Probe{primary, false}});
     // An upstream that keeps accepting connections and answers nothing must also send its greeting.
-    CHECK(watch.due(start + 200ms + PrimaryWatch::longSilence + PrimaryWatch::silence) == std::vector{PrimaryWatch::Look{primary, true}});
+    CHECK(watch.due(start + 200ms + PrimaryWatch::thoroughProbeAfter + PrimaryWatch::probeAfter) == std::vector{PrimaryWatch::Probe{primary, true}});
     watch.ended(primary, false, start + 1s);
     CHECK_FALSE(watch.isActive());
 }
@@ -174,7 +174,7 @@
     for (auto caller = 0; caller < 1'000; ++caller) {
         searches += search.begin(GroupId("g"), start + caller * 1ms) ? 1 : 0;
     }
-    CHECK(searches == 1'000ms / PrimarySearch::rest);
+    CHECK(searches == 1'000ms / PrimarySearch::searchSpacing);
     CHECK(search.begin(GroupId("other"), start));
 }
 
--- a/unittests/Interactive/fakedatabases.cpp
+++ b/unittests/Interactive/fakedatabases.cpp
@@ -18,10 +18,10 @@
 
 namespace asio = boost::asio;
 
-class FakeLink : public UpstreamLink
+class FakeConnection : public UpstreamLink
 {
 public:
-    FakeLink(FakeDatabases &databases, std::string member, std::size_t number)
+    FakeConnection(FakeDatabases &databases, std::string member, std::size_t number)
         : databases(databases)
         , memberId(std::move(member))
         , number(number)
@@ -29,7 +29,7 @@
         ++this->member().connections;
     }
 
-    ~FakeLink() override
+    ~FakeConnection() override
     {
         this->close();
     }
@@ -79,8 +79,8 @@
         if (!this->open || !this->member().reachable) {
             return false;
         }
-        const auto isCallers = !command.id.empty();
-        const auto trouble = isCallers && this->member().trouble ? this->member().trouble(command) : Trouble::None;
+        const auto isFromCaller = !command.id.empty();
+        const auto trouble = isFromCaller && this->member().trouble ? this->member().trouble(command) : Trouble::None;
         if (trouble == Trouble::BreakBefore) {
             return false;
         }
@@ -147,7 +147,7 @@
             return this->refuse(Failure::ReadOnly);
         }
         this->status = TransactionStatus::Open;
-        this->plain = writes;
+        this->isReadWrite = writes;
         return {};
     }
 
@@ -175,16 +175,16 @@
 
     auto run(bool writes, const std::string &arguments) -> CommandResult
     {
-        const auto inPlain = this->status == TransactionStatus::Open && this->plain;
-        if (!this->member().isPrimary && (writes || inPlain)) {
+        const auto inReadWrite = this->status == TransactionStatus::Open && this->isReadWrite;
+        if (!this->member().isPrimary && (writes || inReadWrite)) {
             return this->refuse(Failure::ReadOnly);
         }
-        const auto blank = arguments.find(' ');
-        const auto item = arguments.substr(0, blank);
+        const auto separator = arguments.find(' ');
+        const auto item = arguments.substr(0, separator);
         if (!writes) {
             return this->read(item);
         }
-        const auto data = arguments.substr(blank + 1);
+        const auto data = arguments.substr(separator + 1);
         if (this->status == TransactionStatus::Open) {
             this->written.insert_or_assign(item, data);
         } else {
@@ -228,7 +228,7 @@
     SessionValues values;
     std::map<std::string, PreparedShape> prepared;
     TransactionStatus status = TransactionStatus::None;
-    bool plain = false;
+    bool isReadWrite = false;
     std::map<std::string, std::string> written;
 };
 
@@ -247,7 +247,7 @@
             auto why = FailureReply{member.reachable ? Failure::ConnectionLimit : Failure::Unreachable, "no connection", {}};
             co_return why;
         }
-        co_return std::make_shared<FakeLink>(this->databases, member.id, ++this->databases.connectionsMade);
+        co_return std::make_shared<FakeConnection>(this->databases, member.id, ++this->databases.connectionsMade);
     }
 
     auto reaches(membership::UpstreamView upstream, Duration) -> asio::awaitable<bool> override
--- a/unittests/Interactive/linkpooltest.cpp
+++ b/unittests/Interactive/linkpooltest.cpp
@@ -23,39 +23,39 @@
 using namespace std::chrono_literals;
 
 /// A pool with one upstream that has four connections and a single slot.
-struct OneSlot
+struct SingleSlotPool
 {
-    OneSlot()
+    SingleSlotPool()
         : pool(makeLinkPool(this->databases.connector(), this->io.get_executor()))
     {
         this->pool->setLimits(UpstreamId("a"), {4, 1});
     }
 
-    using Place = std::shared_ptr<std::optional<LeaseResult>>;
+    using PendingLease = std::shared_ptr<std::optional<LeaseResult>>;
 
-    auto acquire(std::uint32_t priority, Duration objective = 1h) -> Place
+    auto acquire(std::uint32_t priority, Duration objective = 1h) -> PendingLease
     {
-        auto place = std::make_shared<std::optional<LeaseResult>>();
-        asio::co_spawn(this->io, take(*this, priority, objective, place), asio::detached);
-        this->pass();
-        return place;
+        auto pending = std::make_shared<std::optional<LeaseResult>>();
+        asio::co_spawn(this->io, acquireInto(*this, priority, objective, pending), asio::detached);
+        this->runReady();
+        return pending;
     }
 
-    auto run(const Place &place, std::vector<Command> commands) -> void
+    auto run(const PendingLease &pending, std::vector<Command> commands) -> void
     {
-        asio::co_spawn(this->io, send(std::get<LinkLease>(**place), std::move(commands)), asio::detached);
-        this->pass();
+        asio::co_spawn(this->io, send(std::get<LinkLease>(**pending), std::move(commands)), asio::detached);
+        this->runReady();
     }
 
-    auto pass() -> void
+    auto runReady() -> void
     {
         this->io.restart();
         this->io.run_for(5ms);
     }
 
-    static auto isHeld(const Place &place) -> bool
+    static auto isGranted(const PendingLease &pending) -> bool
     {
-        return place->has_value() && std::holds_alternative<LinkLease>(**place);
+        return pending->has_value() && std::holds_alternative<LinkLease>(**pending);
     }
 
     FakeDatabases databases;
@@ -63,7 +63,7 @@
     std::shared_ptr<LinkPool> pool;
 
 private:
-    static auto take(OneSlot &self, std::uint32_t priority, Duration objective, Place place) -> asio::awaitable<void>
+    static auto acquireInto(SingleSlotPool &self, std::uint32_t priority, Duration objective, PendingLease pending) -> asio::awaitable<void>
     {
         const auto view = self.databases.view();
         const auto &group = view->groups.front();
@@ -72,7 +72,7 @@
         claim.connectLimit = 1s;
         claim.objective = objective;
         claim.priority = priority;
-        *place = co_await self.pool->acquire(group.id, group.members.front(), std::move(claim));
+        *pending = co_await self.pool->acquire(group.id, group.members.front(), std::move(claim));
     }
 
     static auto send(LinkLease &lease, std::vector<Command> commands) -> asio::awaitable<void>
@@ -95,35 +95,35 @@
 TEST_CASE("statements beyond the upstream's slots wait in the pool, and the most urgent one is served first")
 {
     // A booking arrives while reads wait for the only slot. Queued at the upstream, all would run in order of arrival.
-    auto upstream = OneSlot();
+    auto upstream = SingleSlotPool();
     const auto first = upstream.acquire(2);
-    REQUIRE(OneSlot::isHeld(first));
+    REQUIRE(SingleSlotPool::isGranted(first));
     const auto read = upstream.acquire(2, 400ms);
     const auto booking = upstream.acquire(1, 200ms);
     CHECK_FALSE(read->has_value());
     CHECK_FALSE(booking->has_value());
     std::get<LinkLease>(**first).giveBack();
-    upstream.pass();
-    CHECK(OneSlot::isHeld(booking));
+    upstream.runReady();
+    CHECK(SingleSlotPool::isGranted(booking));
     CHECK_FALSE(read->has_value());
     std::get<LinkLease>(**booking).giveBack();
-    upstream.pass();
-    CHECK(OneSlot::isHeld(read));
+    upstream.runReady();
+    CHECK(SingleSlotPool::isGranted(read));
 }
 
 TEST_CASE("a connection that is idle in transaction keeps no slot")
 {
     // A caller pauses inside a transaction. It holds a connection, but the upstream does no work for it; if it kept its slot, no other
     // caller would be served. Its next statement is served at once, since the transaction holds resources that others need.
-    auto upstream = OneSlot();
+    auto upstream = SingleSlotPool();
     const auto paused = upstream.acquire(2);
     upstream.run(paused, {commandOf(CommandKind::Begin), commandOf(CommandKind::Run, "STORE item 1")});
-    CHECK(upstream.pool->counts().resting == 1);
+    CHECK(upstream.pool->counts().withoutSlot == 1);
     const auto other = upstream.acquire(2);
-    REQUIRE(OneSlot::isHeld(other));
+    REQUIRE(SingleSlotPool::isGranted(other));
     upstream.run(paused, {commandOf(CommandKind::Commit)});
     CHECK(upstream.databases.member("a").items.contains("item"));
-    CHECK(upstream.pool->counts().resting == 0);
+    CHECK(upstream.pool->counts().withoutSlot == 0);
     std::get<LinkLease>(**paused).giveBack();
     std::get<LinkLease>(**other).giveBack();
     CHECK(upstream.pool->counts().busy == 0);
@@ -132,22 +132,22 @@
 
 TEST_CASE("dropping a connection that is idle in transaction keeps the counts correct")
 {
-    auto upstream = OneSlot();
+    auto upstream = SingleSlotPool();
     {
         const auto paused = upstream.acquire(2);
         upstream.run(paused, {commandOf(CommandKind::Begin), commandOf(CommandKind::Run, "STORE item 1")});
-        CHECK(upstream.pool->counts().resting == 1);
+        CHECK(upstream.pool->counts().withoutSlot == 1);
     }
-    CHECK(upstream.pool->counts().resting == 0);
+    CHECK(upstream.pool->counts().withoutSlot == 0);
     CHECK(upstream.pool->counts().busy == 0);
-    CHECK(OneSlot::isHeld(upstream.acquire(2)));
+    CHECK(SingleSlotPool::isGranted(upstream.acquire(2)));
 }
 
 TEST_CASE("an unreachable upstream is not connected to until a probe succeeds, and requests for it fail at once")
 {
     // The upstream is partitioned from this proxy. Each statement that tries to connect would wait until the connect limit. When it is
     // refused at once, its proxy can try another owner.
-    auto upstream = OneSlot();
+    auto upstream = SingleSlotPool();
     upstream.databases.member("a").reachable = false;
     const auto first = upstream.acquire(2);
     REQUIRE(first->has_value());
@@ -160,14 +160,14 @@
     upstream.io.restart();
     upstream.io.run_for(100ms);
     std::this_thread::sleep_for(100ms);
-    CHECK(OneSlot::isHeld(upstream.acquire(2)));
+    CHECK(SingleSlotPool::isGranted(upstream.acquire(2)));
 }
 
 TEST_CASE("waiters for a connection to an upstream that becomes unreachable are refused at once")
 {
     // Statements without an answer occupy all connections. A statement that waits for one of them would be refused only after half of its
     // time, although it could have gone to another member or waited for the next primary.
-    auto slot = OneSlot();
+    auto slot = SingleSlotPool();
     slot.pool->setLimits(UpstreamId("a"), {1, 1});
     const auto lost = slot.acquire(0);
     slot.databases.member("a").trouble = [](const Command &) {
@@ -198,23 +198,23 @@
 {
     // Failure: callers are refused for seconds although the upstream is idle. The answers to some statements are lost; each of these
     // statements waits until its deadline and would keep the slot that the next one needs.
-    auto slot = OneSlot();
+    auto slot = SingleSlotPool();
     const auto lost = slot.acquire(0);
     slot.databases.member("a").trouble = [](const Command &) {
         return Trouble::NoAnswer;
     };
     slot.run(lost, {commandOf(CommandKind::Run, "read a")});
     const auto next = slot.acquire(0);
-    CHECK_FALSE(OneSlot::isHeld(next));
+    CHECK_FALSE(SingleSlotPool::isGranted(next));
     slot.io.restart();
     slot.io.run_for(150ms);
-    CHECK(OneSlot::isHeld(next));
-    CHECK(slot.pool->counts(UpstreamId("a")).resting == 1);
+    CHECK(SingleSlotPool::isGranted(next));
+    CHECK(slot.pool->counts(UpstreamId("a")).withoutSlot == 1);
     // The connection of the lost statement stays busy until the time limit of the exchange; afterwards the counts are correct again.
     slot.io.restart();
     slot.io.run_for(1s);
     std::get<LinkLease>(**lost).giveBack();
-    CHECK(slot.pool->counts(UpstreamId("a")).resting == 0);
+    CHECK(slot.pool->counts(UpstreamId("a")).withoutSlot == 0);
 }
 
 } // namespace sapphirespool::interactive
--- a/unittests/Interactive/sessionfixture.h
+++ b/unittests/Interactive/sessionfixture.h
@@ -81,20 +81,20 @@
     /// \return its reply, which is set once the event loop has run the statement
     auto start(const std::shared_ptr<Session> &session, Statement statement) -> std::shared_ptr<std::optional<Reply>>
     {
-        auto place = std::make_shared<std::optional<Reply>>();
-        boost::asio::co_spawn(this->io, execute(session, std::move(statement), place), boost::asio::detached);
-        return place;
+        auto reply = std::make_shared<std::optional<Reply>>();
+        boost::asio::co_spawn(this->io, execute(session, std::move(statement), reply), boost::asio::detached);
+        return reply;
     }
 
     auto run(const std::shared_ptr<Session> &session, Statement statement) -> Reply
     {
-        const auto place = this->start(session, std::move(statement));
+        const auto reply = this->start(session, std::move(statement));
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-        while (!place->has_value() && std::chrono::steady_clock::now() < end) {
+        while (!reply->has_value() && std::chrono::steady_clock::now() < end) {
             this->io.restart();
             this->io.run_one_for(std::chrono::milliseconds(10));
         }
-        return place->value();
+        return reply->value();
     }
 
     /// Runs the event loop for \p time.
@@ -112,9 +112,9 @@
     std::shared_ptr<SessionService> service;
 
 private:
-    static auto execute(std::shared_ptr<Session> session, Statement statement, std::shared_ptr<std::optional<Reply>> place) -> boost::asio::awaitable<void>
+    static auto execute(std::shared_ptr<Session> session, Statement statement, std::shared_ptr<std::optional<Reply>> reply) -> boost::asio::awaitable<void>
     {
-        *place = co_await session->execute(std::move(statement));
+        *reply = co_await session->execute(std::move(statement));
     }
 };
 
