--- a/lib/Interactive/primarysearch.cpp
+++ b/lib/Interactive/primarysearch.cpp
@@ -6,7 +6,7 @@
 auto PrimarySearch::begin(const GroupId &group, TimePoint now) -> bool
 {
     const auto [last, isFirst] = this->lastSearch.try_emplace(group, now);
-    if (!isFirst && now - last->second < searchSpacing) {
+    if (!isFirst && now - last->second < rest) {
         return false;
     }
     last->second = now;
--- a/lib/Interactive/primarysearch.h
+++ b/lib/Interactive/primarysearch.h
@@ -21,7 +21,7 @@
 {
 public:
     /// Minimum time between two searches of one group; callers that arrive in between use the last result.
-    static constexpr auto searchSpacing = std::chrono::milliseconds(100);
+    static constexpr auto rest = std::chrono::milliseconds(100);
     /// Wait for a view that names the new primary before a search starts, where control VMs are reachable. The view is the usual way to
     /// learn of a new primary, and costs no requests to the members.
     static constexpr auto viewPatience = std::chrono::milliseconds(150);
--- a/unittests/Interactive/decisionstest.cpp
+++ b/unittests/Interactive/decisionstest.cpp
@@ -174,7 +174,7 @@
     for (auto caller = 0; caller < 1'000; ++caller) {
         searches += search.begin(GroupId("g"), start + caller * 1ms) ? 1 : 0;
     }
-    CHECK(searches == 1'000ms / PrimarySearch::searchSpacing);
+    CHECK(searches == 1'000ms / PrimarySearch::rest);
     CHECK(search.begin(GroupId("other"), start));
 }
 
