--- a/unittests/Interactive/sessionfixture.h
+++ b/unittests/Interactive/sessionfixture.h
@@ -1,4 +1,4 @@
-// sessionfixture.h: sessions of one proxy before a fake group.
+// sessionfixture.h: sessions of one proxy in front of a fake database group.
 #pragma once
 
 #include "Interactive/fakedatabases.h"
@@ -40,7 +40,7 @@
     std::size_t retries = 0;
 };
 
-/// One proxy with its sessions.
+/// One proxy, its sessions and the fake databases behind it.
 struct Proxy
 {
     explicit Proxy(membership::Consistency consistency, std::chrono::milliseconds readAge = std::chrono::milliseconds(0))
@@ -61,7 +61,7 @@
         this->service = makeSessionService(std::move(parts));
     }
 
-    /// Gives the proxy the view that the databases' fields describe.
+    /// Publishes the view that the fields of `databases` describe to the proxy.
     auto publish() -> void
     {
         this->views->publish(this->databases.view());
@@ -77,26 +77,27 @@
         return std::get<std::shared_ptr<Session>>(this->service->open("orders"));
     }
 
-    /// Starts \p statement; the answer is there once the loop has run.
+    /// Starts \p statement.
+    /// \return its reply, which is set once the event loop has run the statement
     auto start(const std::shared_ptr<Session> &session, Statement statement) -> std::shared_ptr<std::optional<Reply>>
     {
-        auto place = std::make_shared<std::optional<Reply>>();
-        boost::asio::co_spawn(this->io, execute(session, std::move(statement), place), boost::asio::detached);
-        return place;
+        auto reply = std::make_shared<std::optional<Reply>>();
+        boost::asio::co_spawn(this->io, execute(session, std::move(statement), reply), boost::asio::detached);
+        return reply;
     }
 
     auto run(const std::shared_ptr<Session> &session, Statement statement) -> Reply
     {
-        const auto place = this->start(session, std::move(statement));
+        const auto reply = this->start(session, std::move(statement));
         const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(5);
-        while (!place->has_value() && std::chrono::steady_clock::now() < end) {
+        while (!reply->has_value() && std::chrono::steady_clock::now() < end) {
             this->io.restart();
             this->io.run_one_for(std::chrono::milliseconds(10));
         }
-        return place->value();
+        return reply->value();
     }
 
-    /// Lets what is ready run, and time pass.
+    /// Runs the event loop for \p time.
     auto pass(std::chrono::milliseconds time) -> void
     {
         this->io.restart();
@@ -111,9 +112,9 @@
     std::shared_ptr<SessionService> service;
 
 private:
-    static auto execute(std::shared_ptr<Session> session, Statement statement, std::shared_ptr<std::optional<Reply>> place) -> boost::asio::awaitable<void>
+    static auto execute(std::shared_ptr<Session> session, Statement statement, std::shared_ptr<std::optional<Reply>> reply) -> boost::asio::awaitable<void>
     {
-        *place = co_await session->execute(std::move(statement));
+        *reply = co_await session->execute(std::move(statement));
     }
 };
 
