--- a/include/sapphirespool/Forwarding/forwardingpool.h
+++ b/include/sapphirespool/Forwarding/forwardingpool.h
@@ -2,7 +2,7 @@
 #pragma once
 
 #include "sapphirespool/Forwarding/ownership.h"
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 #include "sapphirespool/Membership/clusterview.h"
 
 #include <boost/asio/any_io_executor.hpp>
@@ -14,7 +14,7 @@
 
 /// Leases connections to upstreams. Where this proxy is not an owner of an upstream (see Ownership), it leases a connection from one of
 /// the owners and forwards the statements to it. All calls must come on the executor of the pool.
-class ForwardingPool : public interactive::LinkPool
+class ForwardingPool : public interactive::ConnectionPool
 {
 public:
     /// Accepts connections from other proxies at \p endpoint and serves them from this proxy's own connections.
@@ -30,7 +30,8 @@
 };
 
 /// \param localPool pool of this proxy's own connections; the new pool sets its limits
-[[nodiscard]] auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<interactive::LinkPool> localPool, const boost::asio::any_io_executor &executor)
+[[nodiscard]] auto
+makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<interactive::ConnectionPool> localPool, const boost::asio::any_io_executor &executor)
     -> std::shared_ptr<ForwardingPool>;
 
 } // namespace sapphirespool::forwarding
--- a/include/sapphirespool/Forwarding/ownership.h
+++ b/include/sapphirespool/Forwarding/ownership.h
@@ -1,7 +1,7 @@
 // ownership.h: decides which proxies open the connections to an upstream.
 #pragma once
 
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 #include "sapphirespool/Membership/clusterview.h"
 #include "sapphirespool/Sessions/rendezvous.h"
 #include "sapphirespool/Support/types.h"
@@ -48,7 +48,7 @@
     [[nodiscard]] auto ownersOf(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> std::vector<VmId>;
 
     /// \return the limits on this proxy's own connections to \p upstream; all zero if it is not an owner
-    [[nodiscard]] auto share(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> interactive::LinkLimits;
+    [[nodiscard]] auto share(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> interactive::ConnectionLimits;
 
 private:
     [[nodiscard]] auto usableConnections(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> std::size_t;
--- a/include/sapphirespool/Interactive/linkpool.h
+++ b/include/sapphirespool/Interactive/connectionpool.h
@@ -1,8 +1,8 @@
-// linkpool.h: this proxy's pool of upstream connections, shared by its sessions.
+// connectionpool.h: this proxy's pool of upstream connections, shared by its sessions.
 #pragma once
 
 #include "sapphirespool/Interactive/positionproofs.h"
-#include "sapphirespool/Interactive/upstreamlink.h"
+#include "sapphirespool/Interactive/upstreamconnection.h"
 #include "sapphirespool/Support/types.h"
 
 #include <boost/asio/any_io_executor.hpp>
@@ -18,41 +18,41 @@
 namespace sapphirespool::interactive
 {
 
-class LinkPool;
+class ConnectionPool;
 
 /// Exclusive use of a connection. Its destructor closes the connection, so that a session that ends in the middle of an operation leaves no
-/// open transaction to the next session; giveBack() is only for connections that are known to be clean.
-class LinkLease
+/// open transaction to the next session; release() is only for connections that are known to be clean.
+class ConnectionLease
 {
 public:
-    LinkLease(std::weak_ptr<LinkPool> pool, UpstreamId upstream, std::shared_ptr<UpstreamLink> link);
-    ~LinkLease();
-    LinkLease(const LinkLease &) = delete;
-    auto operator=(const LinkLease &) -> LinkLease & = delete;
-    LinkLease(LinkLease &&) noexcept = default;
-    auto operator=(LinkLease &&other) noexcept -> LinkLease &;
-
-    [[nodiscard]] auto link() const -> UpstreamLink &;
+    ConnectionLease(std::weak_ptr<ConnectionPool> pool, UpstreamId upstream, std::shared_ptr<UpstreamConnection> connection);
+    ~ConnectionLease();
+    ConnectionLease(const ConnectionLease &) = delete;
+    auto operator=(const ConnectionLease &) -> ConnectionLease & = delete;
+    ConnectionLease(ConnectionLease &&) noexcept = default;
+    auto operator=(ConnectionLease &&other) noexcept -> ConnectionLease &;
+
+    [[nodiscard]] auto connection() const -> UpstreamConnection &;
     [[nodiscard]] auto upstream() const -> const UpstreamId &;
 
     /// Returns the connection, which must be outside of a transaction, to the pool for other sessions.
-    auto giveBack() -> void;
+    auto release() -> void;
 
 private:
     auto closeIfLeased() -> void;
 
-    std::weak_ptr<LinkPool> pool;
+    std::weak_ptr<ConnectionPool> pool;
     UpstreamId upstreamId;
-    std::shared_ptr<UpstreamLink> leased;
+    std::shared_ptr<UpstreamConnection> leased;
 };
 
 /// A statement's request for a connection, and its position in the queue.
-struct LinkClaim
+struct ConnectionRequest
 {
     /// A connection that already has these values is preferred.
     SessionValues values;
     /// Longest wait until a connection becomes available.
-    Duration patience{};
+    Duration waitLimit{};
     /// Time limit for opening a connection.
     Duration connectLimit{};
     /// Time within which the caller wants the answer.
@@ -64,19 +64,19 @@
 };
 
 /// The share of an upstream that one proxy may use at a time.
-struct LinkLimits
+struct ConnectionLimits
 {
-    std::size_t links = 0;
+    std::size_t connections = 0;
     /// Statements that the upstream runs at a time. Only a few more than it has slots, because statements queued at the upstream run in its
     /// order, not by the callers' priorities and deadlines.
     std::size_t statements = 0;
 };
 
 /// A lease, or the reason for its refusal; in that case no command was run.
-using LeaseResult = std::variant<LinkLease, FailureReply>;
+using LeaseResult = std::variant<ConnectionLease, FailureReply>;
 
 /// Numbers of connections to one upstream by state, and of waiting requests.
-struct LinkCounts
+struct ConnectionCounts
 {
     std::size_t idle = 0;
     /// In use or being opened.
@@ -87,17 +87,17 @@
 };
 
 /// Pools connections by upstream, up to the limit of each upstream. All calls run on the executor.
-class LinkPool
+class ConnectionPool
 {
 public:
-    LinkPool() = default;
-    LinkPool(const LinkPool &) = delete;
-    auto operator=(const LinkPool &) -> LinkPool & = delete;
-    virtual ~LinkPool() = default;
+    ConnectionPool() = default;
+    ConnectionPool(const ConnectionPool &) = delete;
+    auto operator=(const ConnectionPool &) -> ConnectionPool & = delete;
+    virtual ~ConnectionPool() = default;
 
     /// Leases a connection as soon as the upstream has a free slot: an idle one, or a new one if the limit allows. Otherwise the request waits
     /// in the upstream's queue (decisions::StatementQueue).
-    virtual auto acquire(GroupId group, membership::UpstreamView upstream, LinkClaim claim) -> boost::asio::awaitable<LeaseResult> = 0;
+    virtual auto acquire(GroupId group, membership::UpstreamView upstream, ConnectionRequest claim) -> boost::asio::awaitable<LeaseResult> = 0;
 
     /// Probes whether \p upstream accepts a connection from this proxy. The connection does not count for the pool's limits.
     /// \param thorough whether the upstream must also send its greeting, which costs it some work
@@ -114,19 +114,19 @@
         = 0;
 
     /// \param limits this proxy's share of \p upstream; without any connection the pool erases the entry once it is unused
-    virtual auto setLimits(const UpstreamId &upstream, const LinkLimits &limits) -> void = 0;
+    virtual auto setLimits(const UpstreamId &upstream, const ConnectionLimits &limits) -> void = 0;
 
     /// Closes the idle connections to \p upstream now, and the busy ones when they are returned.
     virtual auto retire(const UpstreamId &upstream) -> void = 0;
 
-    [[nodiscard]] virtual auto counts(const UpstreamId &upstream) const -> LinkCounts = 0;
-    [[nodiscard]] virtual auto counts() const -> LinkCounts = 0;
+    [[nodiscard]] virtual auto counts(const UpstreamId &upstream) const -> ConnectionCounts = 0;
+    [[nodiscard]] virtual auto counts() const -> ConnectionCounts = 0;
 
 private:
-    friend class LinkLease;
-    virtual auto returned(const UpstreamId &upstream, std::shared_ptr<UpstreamLink> link, bool clean) -> void = 0;
+    friend class ConnectionLease;
+    virtual auto returned(const UpstreamId &upstream, std::shared_ptr<UpstreamConnection> connection, bool clean) -> void = 0;
 };
 
-[[nodiscard]] auto makeLinkPool(std::shared_ptr<LinkConnector> connector, boost::asio::any_io_executor executor) -> std::shared_ptr<LinkPool>;
+[[nodiscard]] auto makeConnectionPool(std::shared_ptr<UpstreamConnector> connector, boost::asio::any_io_executor executor) -> std::shared_ptr<ConnectionPool>;
 
 } // namespace sapphirespool::interactive
--- a/include/sapphirespool/Interactive/positionproofs.h
+++ b/include/sapphirespool/Interactive/positionproofs.h
@@ -34,7 +34,7 @@
 
     /// \param sent when the request was sent to the primary
     /// \param position end of the log in its answer
-    auto note(TimePoint sent, const DataPosition &position) -> void;
+    auto record(TimePoint sent, const DataPosition &position) -> void;
 
     /// \return the lowest position that covers all writes acknowledged before \p moment; nothing if no proof does
     ///
--- a/include/sapphirespool/Interactive/session.h
+++ b/include/sapphirespool/Interactive/session.h
@@ -1,7 +1,7 @@
 // session.h: long-lived caller sessions multiplexed over shared upstream connections.
 #pragma once
 
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 #include "sapphirespool/Interactive/reply.h"
 #include "sapphirespool/Interactive/statement.h"
 #include "sapphirespool/Membership/clusterview.h"
@@ -101,7 +101,7 @@
     std::shared_ptr<membership::ViewHolder> views;
     /// Receives suspicions of unreachable primaries; may be null.
     std::shared_ptr<membership::ControlLink> control;
-    std::shared_ptr<LinkPool> pool;
+    std::shared_ptr<ConnectionPool> pool;
     std::shared_ptr<SessionRecorder> recorder;
     boost::asio::any_io_executor executor;
 };
--- a/include/sapphirespool/Interactive/upstreamlink.h
+++ b/include/sapphirespool/Interactive/upstreamconnection.h
@@ -1,4 +1,4 @@
-// upstreamlink.h: interface of a stateful connection to an upstream.
+// upstreamconnection.h: interface of a stateful connection to an upstream.
 #pragma once
 
 #include "sapphirespool/Interactive/reply.h"
@@ -48,7 +48,7 @@
     std::optional<DataPosition> after;
     /// Whether its changes may be durable although its answer is lost: a commit, or a write outside of a transaction. Other commands can
     /// safely be abandoned, since a transaction that is not committed is rolled back.
-    bool lasting = false;
+    bool mayCommit = false;
 };
 
 /// Outcome of one command.
@@ -79,7 +79,7 @@
 using SessionValues = std::map<std::string, std::string>;
 
 /// Session values and prepared statements that are set on a connection.
-struct LinkState
+struct AppliedState
 {
     SessionValues values;
     /// Name on this connection of each prepared shape.
@@ -87,13 +87,13 @@
 };
 
 /// A connection to an upstream. It handles one exchange at a time.
-class UpstreamLink
+class UpstreamConnection
 {
 public:
-    UpstreamLink() = default;
-    UpstreamLink(const UpstreamLink &) = delete;
-    auto operator=(const UpstreamLink &) -> UpstreamLink & = delete;
-    virtual ~UpstreamLink() = default;
+    UpstreamConnection() = default;
+    UpstreamConnection(const UpstreamConnection &) = delete;
+    auto operator=(const UpstreamConnection &) -> UpstreamConnection & = delete;
+    virtual ~UpstreamConnection() = default;
 
     /// Sends \p commands together and waits for their results. The connection is closed if they take longer than \p limit.
     virtual auto exchange(std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult> = 0;
@@ -104,20 +104,20 @@
     [[nodiscard]] virtual auto isUsable() const -> bool = 0;
 
     /// The state that the proxy has set on the connection.
-    LinkState state;
+    AppliedState state;
 };
 
 /// A connection, or the reason for the failure; a failure guarantees that no command was run.
-using ConnectResult = std::variant<std::shared_ptr<UpstreamLink>, FailureReply>;
+using ConnectResult = std::variant<std::shared_ptr<UpstreamConnection>, FailureReply>;
 
 /// Opens upstream connections.
-class LinkConnector
+class UpstreamConnector
 {
 public:
-    LinkConnector() = default;
-    LinkConnector(const LinkConnector &) = delete;
-    auto operator=(const LinkConnector &) -> LinkConnector & = delete;
-    virtual ~LinkConnector() = default;
+    UpstreamConnector() = default;
+    UpstreamConnector(const UpstreamConnector &) = delete;
+    auto operator=(const UpstreamConnector &) -> UpstreamConnector & = delete;
+    virtual ~UpstreamConnector() = default;
 
     /// Connects to \p upstream as a member of \p group within \p limit.
     virtual auto connect(GroupId group, membership::UpstreamView upstream, Duration limit) -> boost::asio::awaitable<ConnectResult> = 0;
--- a/include/sapphirespool/Node/edge.h
+++ b/include/sapphirespool/Node/edge.h
@@ -4,7 +4,7 @@
 #include "sapphirespool/Configuration/reader.h"
 #include "sapphirespool/Http/server.h"
 #include "sapphirespool/Interactive/session.h"
-#include "sapphirespool/Interactive/upstreamlink.h"
+#include "sapphirespool/Interactive/upstreamconnection.h"
 #include "sapphirespool/Membership/clusterview.h"
 #include "sapphirespool/Membership/controllink.h"
 #include "sapphirespool/Platform/groupoperator.h"
@@ -62,7 +62,7 @@
         -> std::shared_ptr<http::Handler>
         = 0;
 
-    [[nodiscard]] virtual auto linkConnector(const boost::asio::any_io_executor &executor) -> std::shared_ptr<interactive::LinkConnector> = 0;
+    [[nodiscard]] virtual auto upstreamConnector(const boost::asio::any_io_executor &executor) -> std::shared_ptr<interactive::UpstreamConnector> = 0;
 
     [[nodiscard]] virtual auto callerServer(const boost::asio::any_io_executor &executor, std::shared_ptr<interactive::SessionService> sessions)
         -> std::shared_ptr<CallerServer>
--- a/lib/Forwarding/codec.cpp
+++ b/lib/Forwarding/codec.cpp
@@ -15,13 +15,13 @@
 namespace
 {
 
+using interactive::AppliedState;
 using interactive::Command;
 using interactive::CommandKind;
 using interactive::CommandResult;
 using interactive::DataPosition;
 using interactive::Failure;
 using interactive::FailureReply;
-using interactive::LinkState;
 using interactive::PreparedShape;
 using interactive::SessionValues;
 using interactive::TransactionStatus;
@@ -87,7 +87,7 @@
 }
 
 template <typename Builder>
-auto writeState(Builder to, const LinkState &from) -> void
+auto writeState(Builder to, const AppliedState &from) -> void
 {
     write(to.initValues(listSize(from.values)), from.values);
     auto prepared = to.initPrepared(listSize(from.prepared));
@@ -100,9 +100,9 @@
 }
 
 template <typename Reader>
-auto readState(Reader from) -> LinkState
+auto readState(Reader from) -> AppliedState
 {
-    auto state = LinkState{read(from.getValues()), {}};
+    auto state = AppliedState{read(from.getValues()), {}};
     for (const auto prepared : ofSaneLength(from.getPrepared())) {
         state.prepared.insert_or_assign(read(prepared.getShape()), toString(prepared.getName()));
     }
@@ -199,7 +199,7 @@
         out.setGroup(body.group.value());
         out.setUpstream(body.upstream.value());
         write(out.initValues(listSize(body.values)), body.values);
-        out.setPatienceMs(static_cast<std::uint64_t>(body.patience.count()));
+        out.setPatienceMs(static_cast<std::uint64_t>(body.waitLimit.count()));
         out.setConnectMs(static_cast<std::uint64_t>(body.connectLimit.count()));
         out.setObjectiveMs(static_cast<std::uint64_t>(body.objective.count()));
         out.setPriority(body.priority);
--- a/lib/Forwarding/codec.h
+++ b/lib/Forwarding/codec.h
@@ -1,7 +1,7 @@
 // codec.h: the messages between proxies and their Cap'n Proto form.
 #pragma once
 
-#include "sapphirespool/Interactive/upstreamlink.h"
+#include "sapphirespool/Interactive/upstreamconnection.h"
 #include "sapphirespool/Support/types.h"
 
 #include <cstdint>
@@ -20,7 +20,7 @@
     GroupId group;
     UpstreamId upstream;
     interactive::SessionValues values;
-    std::chrono::milliseconds patience{0};
+    std::chrono::milliseconds waitLimit{0};
     std::chrono::milliseconds connectLimit{0};
     /// Time within which the caller wants the answer.
     std::chrono::milliseconds objective{0};
@@ -29,7 +29,7 @@
 
 struct Acquired
 {
-    interactive::LinkState state;
+    interactive::AppliedState state;
     /// Statements that the owner is running at the upstream, and those that wait for a connection to it.
     std::uint32_t load = 0;
 };
@@ -56,7 +56,7 @@
 struct Release
 {
     bool clean = false;
-    interactive::LinkState state;
+    interactive::AppliedState state;
 };
 
 /// Requests a proof of the current end of the group's log.
--- a/lib/Forwarding/forwardingpool.cpp
+++ b/lib/Forwarding/forwardingpool.cpp
@@ -32,10 +32,10 @@
 /// Backoff after a failed accept, which usually means that the process is out of file descriptors.
 constexpr auto acceptBackoff = std::chrono::milliseconds(100);
 
+using interactive::ConnectionCounts;
+using interactive::ConnectionPool;
 using interactive::FailureReply;
 using interactive::LeaseResult;
-using interactive::LinkCounts;
-using interactive::LinkPool;
 
 /// Connections to one upstream that this proxy leases from other proxies, and the load that those last reported for the upstream.
 struct RemoteUsage
@@ -47,7 +47,7 @@
 class ForwardingPoolImpl : public ForwardingPool, public OwnedUpstreams, public std::enable_shared_from_this<ForwardingPoolImpl>
 {
 public:
-    ForwardingPoolImpl(VmId self, ZoneId zone, std::shared_ptr<LinkPool> localPool, const asio::any_io_executor &executor)
+    ForwardingPoolImpl(VmId self, ZoneId zone, std::shared_ptr<ConnectionPool> localPool, const asio::any_io_executor &executor)
         : self(self)
         , ownership(std::move(self), std::move(zone))
         , localPool(std::move(localPool))
@@ -98,7 +98,7 @@
         }
     }
 
-    auto acquire(GroupId group, membership::UpstreamView upstream, interactive::LinkClaim claim) -> asio::awaitable<LeaseResult> override
+    auto acquire(GroupId group, membership::UpstreamView upstream, interactive::ConnectionRequest claim) -> asio::awaitable<LeaseResult> override
     {
         const auto keepAlive = this->shared_from_this();
         const auto *const groupView = this->view == nullptr ? nullptr : this->view->findGroup(group);
@@ -109,7 +109,7 @@
         const auto request = Acquire{group,
                                      upstream.id,
                                      claim.values,
-                                     std::chrono::ceil<std::chrono::milliseconds>(claim.patience),
+                                     std::chrono::ceil<std::chrono::milliseconds>(claim.waitLimit),
                                      std::chrono::ceil<std::chrono::milliseconds>(claim.connectLimit),
                                      std::chrono::ceil<std::chrono::milliseconds>(claim.objective),
                                      claim.priority};
@@ -162,10 +162,10 @@
         co_return std::nullopt;
     }
 
-    auto awaitOwned(GroupId group, UpstreamId upstream, Duration patience) -> asio::awaitable<std::optional<membership::UpstreamView>> override
+    auto awaitOwned(GroupId group, UpstreamId upstream, Duration waitLimit) -> asio::awaitable<std::optional<membership::UpstreamView>> override
     {
         const auto keepAlive = this->shared_from_this();
-        const auto deadline = std::chrono::steady_clock::now() + patience;
+        const auto deadline = std::chrono::steady_clock::now() + waitLimit;
         auto owned = this->findOwned(group, upstream);
         while (!owned && std::chrono::steady_clock::now() < deadline) {
             co_await this->viewSignal.wait(deadline);
@@ -174,7 +174,7 @@
         co_return owned;
     }
 
-    auto setLimits(const UpstreamId &, const interactive::LinkLimits &) -> void override
+    auto setLimits(const UpstreamId &, const interactive::ConnectionLimits &) -> void override
     {
         // The limits are derived from the view.
     }
@@ -187,7 +187,7 @@
         }
     }
 
-    [[nodiscard]] auto counts(const UpstreamId &upstream) const -> LinkCounts override
+    [[nodiscard]] auto counts(const UpstreamId &upstream) const -> ConnectionCounts override
     {
         auto counts = this->localPool->counts(upstream);
         if (const auto found = this->remoteUsages.find(upstream); found != this->remoteUsages.end()) {
@@ -196,7 +196,7 @@
         return counts;
     }
 
-    [[nodiscard]] auto counts() const -> LinkCounts override
+    [[nodiscard]] auto counts() const -> ConnectionCounts override
     {
         return this->localPool->counts();
     }
@@ -220,7 +220,7 @@
     }
 
     /// \return a lease from \p owner, or its refusal; nothing if it does not answer or is not an owner according to its own view
-    auto acquireFrom(VmId owner, GroupId group, membership::UpstreamView upstream, interactive::LinkClaim claim, Acquire request)
+    auto acquireFrom(VmId owner, GroupId group, membership::UpstreamView upstream, interactive::ConnectionRequest claim, Acquire request)
         -> asio::awaitable<std::optional<LeaseResult>>
     {
         const auto keepAlive = this->shared_from_this();
@@ -235,9 +235,9 @@
         ++this->remoteUsages[id].busy;
         auto result = co_await channel->acquire(std::move(request));
         auto &usage = this->remoteUsages[id];
-        if (auto *const connection = std::get_if<std::shared_ptr<interactive::UpstreamLink>>(&result.connection)) {
+        if (auto *const connection = std::get_if<std::shared_ptr<interactive::UpstreamConnection>>(&result.connection)) {
             usage.loads[owner] = result.load;
-            co_return interactive::LinkLease(this->weak_from_this(), id, std::move(*connection));
+            co_return interactive::ConnectionLease(this->weak_from_this(), id, std::move(*connection));
         }
         --usage.busy;
         if (!result.answered || result.notOwner) {
@@ -271,7 +271,7 @@
             const auto *const present = this->view->findGroup(group.id);
             for (const auto &member : group.members) {
                 if (present == nullptr || present->findMember(member.id) == nullptr) {
-                    this->localPool->setLimits(member.id, interactive::LinkLimits());
+                    this->localPool->setLimits(member.id, interactive::ConnectionLimits());
                 }
             }
         }
@@ -308,7 +308,7 @@
     {
         const auto *const groupView = this->view == nullptr ? nullptr : this->view->findGroup(group);
         const auto *const member = groupView == nullptr ? nullptr : groupView->findMember(upstream);
-        if (member == nullptr || this->ownership.share(*groupView, *member).links == 0) {
+        if (member == nullptr || this->ownership.share(*groupView, *member).connections == 0) {
             return std::nullopt;
         }
         return *member;
@@ -355,7 +355,7 @@
         return channel;
     }
 
-    auto returned(const UpstreamId &upstream, std::shared_ptr<interactive::UpstreamLink> link, bool clean) -> void override
+    auto returned(const UpstreamId &upstream, std::shared_ptr<interactive::UpstreamConnection> link, bool clean) -> void override
     {
         if (const auto found = this->remoteUsages.find(upstream); found != this->remoteUsages.end() && found->second.busy > 0) {
             --found->second.busy;
@@ -365,7 +365,7 @@
 
     VmId self;
     Ownership ownership;
-    std::shared_ptr<LinkPool> localPool;
+    std::shared_ptr<ConnectionPool> localPool;
     asio::any_io_executor executor;
     tcp::acceptor acceptor;
     std::shared_ptr<const membership::ClusterView> view;
@@ -377,7 +377,8 @@
 
 } // namespace
 
-auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<LinkPool> localPool, const asio::any_io_executor &executor) -> std::shared_ptr<ForwardingPool>
+auto makeForwardingPool(VmId self, ZoneId zone, std::shared_ptr<ConnectionPool> localPool, const asio::any_io_executor &executor)
+    -> std::shared_ptr<ForwardingPool>
 {
     return std::make_shared<ForwardingPoolImpl>(std::move(self), std::move(zone), std::move(localPool), executor);
 }
--- a/lib/Forwarding/ownerchannel.cpp
+++ b/lib/Forwarding/ownerchannel.cpp
@@ -41,7 +41,7 @@
 }
 
 /// A connection to an upstream that another proxy holds and this one leases.
-class RemoteConnection : public interactive::UpstreamLink
+class RemoteConnection : public interactive::UpstreamConnection
 {
 public:
     RemoteConnection(std::shared_ptr<OwnerChannel> channel, std::uint64_t lease)
@@ -87,7 +87,7 @@
     auto release(bool clean) -> void
     {
         if (!std::exchange(this->released, true) && this->channel->generation() == this->generation) {
-            this->channel->release(this->lease, Release{clean && !this->broken, clean ? this->state : interactive::LinkState()});
+            this->channel->release(this->lease, Release{clean && !this->broken, clean ? this->state : interactive::AppliedState()});
         }
     }
 
@@ -101,7 +101,7 @@
 
 } // namespace
 
-auto releaseRemote(interactive::UpstreamLink &link, bool clean) -> void
+auto releaseRemote(interactive::UpstreamConnection &link, bool clean) -> void
 {
     if (auto *const remote = dynamic_cast<RemoteConnection *>(&link)) {
         remote->release(clean);
@@ -126,7 +126,7 @@
     if (!connected) {
         co_return result;
     }
-    const auto limit = std::max<Duration>(request.patience, request.connectLimit) + answerMargin;
+    const auto limit = std::max<Duration>(request.waitLimit, request.connectLimit) + answerMargin;
     const auto lease = ++this->lastLease;
     const auto generation = this->generation();
     auto message = Message{lease, std::move(request)};
@@ -148,7 +148,7 @@
         const auto remote = std::make_shared<RemoteConnection>(self, lease);
         remote->state = std::move(acquired->state);
         result.load = acquired->load;
-        result.connection = std::static_pointer_cast<interactive::UpstreamLink>(remote);
+        result.connection = std::static_pointer_cast<interactive::UpstreamConnection>(remote);
     }
     co_return result;
 }
@@ -158,7 +158,7 @@
     const auto self = this->shared_from_this();
     const auto limit = request.limit + answerMargin;
     const auto hasLastingEffect = std::any_of(request.commands.begin(), request.commands.end(), [](const interactive::Command &command) {
-        return command.lasting;
+        return command.mayCommit;
     });
     auto message = Message{lease, std::move(request)};
     auto answer = co_await this->sendRequest(std::move(message), limit, hasLastingEffect ? UnresponsivePolicy::KeepWaiting : UnresponsivePolicy::Abandon);
--- a/lib/Forwarding/ownerchannel.h
+++ b/lib/Forwarding/ownerchannel.h
@@ -4,7 +4,7 @@
 #include "framedconnection.h"
 
 #include "sapphirespool/Interactive/positionproofs.h"
-#include "sapphirespool/Interactive/upstreamlink.h"
+#include "sapphirespool/Interactive/upstreamconnection.h"
 #include "sapphirespool/Support/logbudget.h"
 #include "sapphirespool/Support/presence.h"
 #include "sapphirespool/Support/types.h"
@@ -24,7 +24,7 @@
 
 /// Releases a connection that is leased from another proxy; does nothing for other connections.
 /// \param clean whether the owner may reuse the connection; otherwise it closes it
-auto releaseRemote(interactive::UpstreamLink &link, bool clean) -> void;
+auto releaseRemote(interactive::UpstreamConnection &link, bool clean) -> void;
 
 /// Leases connections from one owner and runs commands on them. Connects on first use, and again after a failure. An owner that failed is
 /// probed in the background until it answers.
@@ -34,7 +34,7 @@
     /// A connection, or the reason why there is none, with the owner's load at the upstream.
     struct AcquireResult
     {
-        std::variant<std::shared_ptr<interactive::UpstreamLink>, interactive::FailureReply> connection;
+        std::variant<std::shared_ptr<interactive::UpstreamConnection>, interactive::FailureReply> connection;
         /// Whether the owner answered at all.
         bool answered = false;
         /// Whether it is not an owner according to its own view.
--- a/lib/Forwarding/ownerserver.cpp
+++ b/lib/Forwarding/ownerserver.cpp
@@ -28,14 +28,16 @@
 class OwnerConnection::Leases
 {
 public:
-    std::map<std::uint64_t, interactive::LinkLease> held;
+    std::map<std::uint64_t, interactive::ConnectionLease> held;
     /// Leases that were released before they were granted, or while an exchange was running on them.
     std::set<std::uint64_t> releasedEarly;
     /// Leases on which an exchange is running; their release takes effect when it ends.
     std::set<std::uint64_t> exchanging;
 };
 
-OwnerConnection::OwnerConnection(std::shared_ptr<FramedConnection> connection, std::shared_ptr<interactive::LinkPool> pool, std::weak_ptr<OwnedUpstreams> owned)
+OwnerConnection::OwnerConnection(std::shared_ptr<FramedConnection> connection,
+                                 std::shared_ptr<interactive::ConnectionPool> pool,
+                                 std::weak_ptr<OwnedUpstreams> owned)
     : connection(std::move(connection))
     , pool(std::move(pool))
     , owned(std::move(owned))
@@ -84,15 +86,15 @@
 
 auto OwnerConnection::acquire(std::shared_ptr<OwnerConnection> self, std::uint64_t lease, Acquire request) -> asio::awaitable<void>
 {
-    auto upstream = co_await self->findOwned(request.group, request.upstream, std::min<Duration>(viewWaitLimit, request.patience));
+    auto upstream = co_await self->findOwned(request.group, request.upstream, std::min<Duration>(viewWaitLimit, request.waitLimit));
     if (!upstream) {
         auto why = interactive::FailureReply{interactive::Failure::Busy, "the owner does not know upstream " + request.upstream.value(), {}};
         self->refuse(lease, Refused{std::move(why), true});
         co_return;
     }
-    auto claim = interactive::LinkClaim();
+    auto claim = interactive::ConnectionRequest();
     claim.values = std::move(request.values);
-    claim.patience = request.patience;
+    claim.waitLimit = request.waitLimit;
     claim.connectLimit = request.connectLimit;
     claim.objective = request.objective;
     claim.priority = request.priority;
@@ -101,13 +103,13 @@
         self->refuse(lease, Refused{std::move(*why)});
         co_return;
     }
-    auto held = std::get<interactive::LinkLease>(std::move(result));
+    auto held = std::get<interactive::ConnectionLease>(std::move(result));
     if (!self->connection->isOpen() || self->leases->releasedEarly.erase(lease) > 0) {
-        held.giveBack();
+        held.release();
         co_return;
     }
     const auto counts = self->pool->counts(request.upstream);
-    auto answer = Message{lease, Acquired{held.link().state, static_cast<std::uint32_t>(counts.busy + counts.waiting)}};
+    auto answer = Message{lease, Acquired{held.connection().state, static_cast<std::uint32_t>(counts.busy + counts.waiting)}};
     self->leases->held.insert_or_assign(lease, std::move(held));
     self->connection->send(answer);
 }
@@ -126,7 +128,7 @@
     auto held = std::move(found->second);
     self->leases->held.erase(found);
     self->leases->exchanging.insert(lease);
-    result = co_await held.link().exchange(request.commands, request.limit);
+    result = co_await held.connection().exchange(request.commands, request.limit);
     self->leases->exchanging.erase(lease);
     const auto releasedEarly = self->leases->releasedEarly.erase(lease) > 0;
     if (self->connection->isOpen() && !releasedEarly) {
@@ -145,8 +147,8 @@
     auto held = std::move(found->second);
     this->leases->held.erase(found);
     if (request.clean) {
-        held.link().state = std::move(request.state);
-        held.giveBack();
+        held.connection().state = std::move(request.state);
+        held.release();
     }
 }
 
@@ -165,13 +167,13 @@
     self->connection->send(answer);
 }
 
-auto OwnerConnection::findOwned(GroupId group, UpstreamId upstream, Duration patience) -> asio::awaitable<std::optional<membership::UpstreamView>>
+auto OwnerConnection::findOwned(GroupId group, UpstreamId upstream, Duration waitLimit) -> asio::awaitable<std::optional<membership::UpstreamView>>
 {
     const auto upstreams = this->owned.lock();
     if (upstreams == nullptr) {
         co_return std::nullopt;
     }
-    co_return co_await upstreams->awaitOwned(std::move(group), std::move(upstream), patience);
+    co_return co_await upstreams->awaitOwned(std::move(group), std::move(upstream), waitLimit);
 }
 
 auto OwnerConnection::refuse(std::uint64_t lease, Refused refused) -> void
--- a/lib/Forwarding/ownerserver.h
+++ b/lib/Forwarding/ownerserver.h
@@ -3,7 +3,7 @@
 
 #include "framedconnection.h"
 
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 #include "sapphirespool/Membership/clusterview.h"
 
 #include <boost/asio/any_io_executor.hpp>
@@ -25,13 +25,13 @@
     auto operator=(const OwnedUpstreams &) -> OwnedUpstreams & = delete;
     virtual ~OwnedUpstreams() = default;
 
-    /// Waits at most \p patience for a view that makes this proxy an owner of \p upstream.
+    /// Waits at most \p waitLimit for a view that makes this proxy an owner of \p upstream.
     ///
     /// Load pattern: after a power loss, or when owners change, views reach the proxies one after another, and proxies that have the new view
     /// send requests to owners that do not have it yet. If the owner refused them, each caller would use up an attempt some tens of
     /// milliseconds before the owner could serve it.
     /// \return the upstream, or nothing if no such view arrived
-    virtual auto awaitOwned(GroupId group, UpstreamId upstream, Duration patience) -> boost::asio::awaitable<std::optional<membership::UpstreamView>> = 0;
+    virtual auto awaitOwned(GroupId group, UpstreamId upstream, Duration waitLimit) -> boost::asio::awaitable<std::optional<membership::UpstreamView>> = 0;
 };
 
 /// Serves the requests of another proxy and holds its leases for as long as its connection lasts. When the connection ends, the leases
@@ -39,7 +39,7 @@
 class OwnerConnection : public std::enable_shared_from_this<OwnerConnection>
 {
 public:
-    OwnerConnection(std::shared_ptr<FramedConnection> connection, std::shared_ptr<interactive::LinkPool> pool, std::weak_ptr<OwnedUpstreams> owned);
+    OwnerConnection(std::shared_ptr<FramedConnection> connection, std::shared_ptr<interactive::ConnectionPool> pool, std::weak_ptr<OwnedUpstreams> owned);
     ~OwnerConnection();
 
     /// \param closed called once when the connection has ended
@@ -55,11 +55,11 @@
     static auto exchange(std::shared_ptr<OwnerConnection> self, std::uint64_t lease, Exchange request) -> boost::asio::awaitable<void>;
     auto release(std::uint64_t lease, Release request) -> void;
     static auto prove(std::shared_ptr<OwnerConnection> self, std::uint64_t number, Prove request) -> boost::asio::awaitable<void>;
-    auto findOwned(GroupId group, UpstreamId upstream, Duration patience) -> boost::asio::awaitable<std::optional<membership::UpstreamView>>;
+    auto findOwned(GroupId group, UpstreamId upstream, Duration waitLimit) -> boost::asio::awaitable<std::optional<membership::UpstreamView>>;
     auto refuse(std::uint64_t lease, Refused refused) -> void;
 
     std::shared_ptr<FramedConnection> connection;
-    std::shared_ptr<interactive::LinkPool> pool;
+    std::shared_ptr<interactive::ConnectionPool> pool;
     std::weak_ptr<OwnedUpstreams> owned;
     std::unique_ptr<Leases> leases;
 };
--- a/lib/Forwarding/ownership.cpp
+++ b/lib/Forwarding/ownership.cpp
@@ -58,7 +58,7 @@
     return owners;
 }
 
-auto Ownership::share(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> interactive::LinkLimits
+auto Ownership::share(const membership::GroupView &group, const membership::UpstreamView &upstream) const -> interactive::ConnectionLimits
 {
     const auto owners = this->ownersOf(group, upstream);
     const auto owns = owners.empty() || std::find(owners.begin(), owners.end(), this->self) != owners.end();
--- a/lib/Interactive/callersession.cpp
+++ b/lib/Interactive/callersession.cpp
@@ -163,7 +163,7 @@
 auto CallerSession::rollback() -> asio::awaitable<Reply>
 {
     if (this->transaction != nullptr && this->transaction->lease) {
-        const auto lease = std::make_shared<LinkLease>(*std::move(this->transaction->lease));
+        const auto lease = std::make_shared<ConnectionLease>(*std::move(this->transaction->lease));
         this->transaction->lease.reset();
         --this->core->counts.transactions;
         co_await rollBackAndRelease(lease);
@@ -255,7 +255,7 @@
     if (auto *const none = std::get_if<FailureReply>(&leased)) {
         co_return retryElsewhere(std::move(*none));
     }
-    auto lease = std::get<LinkLease>(std::move(leased));
+    auto lease = std::get<ConnectionLease>(std::move(leased));
     if (context.access == Access::Write) {
         co_return co_await this->runWrite(std::move(lease), target, context);
     }
@@ -265,16 +265,16 @@
     co_return co_await this->runReplicaRead(std::move(lease), target, context);
 }
 
-auto CallerSession::runWrite(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
+auto CallerSession::runWrite(ConnectionLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
-    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.connection(), this->state, context.shapePointer(), nullptr, context.remaining())) {
         this->core->probe(target.member);
         co_return retryElsewhere(*std::move(why));
     }
-    auto command = commandOf(context.statement, lease.link().state, context.shapePointer());
-    command.lasting = true;
+    auto command = commandOf(context.statement, lease.connection().state, context.shapePointer());
+    command.mayCommit = true;
     const auto commands = std::vector<Command>{std::move(command)};
-    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, context.remaining());
+    const auto exchange = co_await this->core->exchange(target.member, lease.connection(), commands, context.remaining());
     if (exchange.results.empty()) {
         this->core->probe(target.member);
         if (!exchange.sent) {
@@ -285,28 +285,28 @@
     }
     const auto &result = exchange.results.front();
     if (result.failure && mayRetryElsewhere(result.failure->failure)) {
-        lease.giveBack();
+        lease.release();
         co_return retryElsewhere(*result.failure, result.failure->failure == Failure::ReadOnly);
     }
     if (!result.failure) {
         this->recordWrite(target.member.group, result.position);
         this->recordProof(target.member, exchange.sentAt, result.position);
     }
-    lease.giveBack();
+    lease.release();
     co_return toReply(result, TransactionStatus::None);
 }
 
-auto CallerSession::runReplicaRead(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
+auto CallerSession::runReplicaRead(ConnectionLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
     const auto &upstream = target.member.upstream.id;
-    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.connection(), this->state, context.shapePointer(), nullptr, context.remaining())) {
         this->core->load.failed(upstream, support::now());
         co_return retryElsewhere(*std::move(why));
     }
-    auto command = commandOf(context.statement, lease.link().state, context.shapePointer());
+    auto command = commandOf(context.statement, lease.connection().state, context.shapePointer());
     command.after = target.after;
     const auto commands = std::vector<Command>{std::move(command)};
-    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, context.remaining());
+    const auto exchange = co_await this->core->exchange(target.member, lease.connection(), commands, context.remaining());
     if (exchange.results.empty()) {
         this->core->load.failed(upstream, support::now());
         // A read changes nothing, so it may be retried at another member before the deadline.
@@ -316,7 +316,7 @@
         co_return this->fail(makeFailure(Failure::TimedOut, "the upstream did not answer within the route's time"));
     }
     const auto &result = exchange.results.front();
-    lease.giveBack();
+    lease.release();
     if (result.failure && mayRetryElsewhere(result.failure->failure)) {
         auto why = *failureOf(commands.front(), result);
         if (why.failure == Failure::Busy) {
@@ -330,23 +330,24 @@
     co_return toReply(result, TransactionStatus::None);
 }
 
-auto CallerSession::runPrimaryRead(LinkLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
+auto CallerSession::runPrimaryRead(ConnectionLease lease, const Target &target, const StatementContext &context) -> asio::awaitable<RunResult>
 {
     // A stale primary, whose replacement this proxy's view does not show yet, would answer a plain read with old data. It refuses to
     // begin a read-write transaction, and any statement in one. The read therefore runs in a read-write transaction, and is sent only
     // once that has begun: pipelined with the begin, it would run outside of a transaction where the begin is refused.
     const auto begin = makeCommand(CommandKind::Begin);
-    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.connection(), this->state, context.shapePointer(), &begin, context.remaining())) {
         const auto notPrimary = why->failure == Failure::ReadOnly;
         if (notPrimary) {
-            lease.giveBack();
+            lease.release();
         } else {
             this->core->probe(target.member);
         }
         co_return retryElsewhere(*std::move(why), notPrimary);
     }
-    const auto commands = std::vector<Command>{commandOf(context.statement, lease.link().state, context.shapePointer()), makeCommand(CommandKind::Rollback)};
-    const auto exchange = co_await this->core->exchange(target.member, lease.link(), commands, context.remaining());
+    const auto commands
+        = std::vector<Command>{commandOf(context.statement, lease.connection().state, context.shapePointer()), makeCommand(CommandKind::Rollback)};
+    const auto exchange = co_await this->core->exchange(target.member, lease.connection(), commands, context.remaining());
     if (exchange.results.empty()) {
         this->core->probe(target.member);
         this->core->load.failed(target.member.upstream.id, support::now());
@@ -357,7 +358,7 @@
     }
     const auto &result = exchange.results.front();
     if (exchange.results.size() == commands.size() && exchange.results.back().status == TransactionStatus::None) {
-        lease.giveBack();
+        lease.release();
     }
     if (result.failure && mayRetryElsewhere(result.failure->failure)) {
         co_return retryElsewhere(*result.failure, result.failure->failure == Failure::ReadOnly);
@@ -394,7 +395,7 @@
 auto CallerSession::recordProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void
 {
     if (position) {
-        this->core->proofsOf(member.group).note(sent, *position);
+        this->core->proofsOf(member.group).record(sent, *position);
     }
 }
 
--- a/lib/Interactive/callersession.h
+++ b/lib/Interactive/callersession.h
@@ -23,7 +23,7 @@
     /// Whether a write was sent in this transaction.
     bool wrote = false;
     /// The upstream connection, held from the first statement to the end.
-    std::optional<LinkLease> lease;
+    std::optional<ConnectionLease> lease;
     Member member;
 };
 
@@ -87,9 +87,9 @@
 
     auto runSingle(const StatementContext &context) -> boost::asio::awaitable<Reply>;
     auto runAt(const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
-    auto runWrite(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
-    auto runReplicaRead(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
-    auto runPrimaryRead(LinkLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runWrite(ConnectionLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runReplicaRead(ConnectionLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
+    auto runPrimaryRead(ConnectionLease lease, const Target &target, const StatementContext &context) -> boost::asio::awaitable<RunResult>;
 
     auto openTransaction(const StatementContext &context) -> boost::asio::awaitable<std::optional<FailureReply>>;
     auto openAt(const Target &target, const StatementContext &context) -> boost::asio::awaitable<std::optional<RetryElsewhere>>;
--- a/lib/Interactive/linklease.cpp
+++ b/lib/Interactive/connectionlease.cpp
@@ -1,23 +1,23 @@
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 
 #include <utility>
 
 namespace sapphirespool::interactive
 {
 
-LinkLease::LinkLease(std::weak_ptr<LinkPool> pool, UpstreamId upstream, std::shared_ptr<UpstreamLink> link)
+ConnectionLease::ConnectionLease(std::weak_ptr<ConnectionPool> pool, UpstreamId upstream, std::shared_ptr<UpstreamConnection> connection)
     : pool(std::move(pool))
     , upstreamId(std::move(upstream))
-    , leased(std::move(link))
+    , leased(std::move(connection))
 {
 }
 
-LinkLease::~LinkLease()
+ConnectionLease::~ConnectionLease()
 {
     this->closeIfLeased();
 }
 
-auto LinkLease::operator=(LinkLease &&other) noexcept -> LinkLease &
+auto ConnectionLease::operator=(ConnectionLease &&other) noexcept -> ConnectionLease &
 {
     if (this != &other) {
         this->closeIfLeased();
@@ -28,33 +28,33 @@
     return *this;
 }
 
-auto LinkLease::link() const -> UpstreamLink &
+auto ConnectionLease::connection() const -> UpstreamConnection &
 {
     return *this->leased;
 }
 
-auto LinkLease::upstream() const -> const UpstreamId &
+auto ConnectionLease::upstream() const -> const UpstreamId &
 {
     return this->upstreamId;
 }
 
-auto LinkLease::giveBack() -> void
+auto ConnectionLease::release() -> void
 {
     if (const auto owner = this->pool.lock(); owner != nullptr && this->leased != nullptr) {
         owner->returned(this->upstreamId, std::exchange(this->leased, nullptr), true);
     }
 }
 
-auto LinkLease::closeIfLeased() -> void
+auto ConnectionLease::closeIfLeased() -> void
 {
     if (this->leased == nullptr) {
         return;
     }
-    const auto link = std::exchange(this->leased, nullptr);
+    const auto connection = std::exchange(this->leased, nullptr);
     if (const auto owner = this->pool.lock()) {
-        owner->returned(this->upstreamId, link, false);
+        owner->returned(this->upstreamId, connection, false);
     } else {
-        link->close();
+        connection->close();
     }
 }
 
--- a/lib/Interactive/linkpool.cpp
+++ b/lib/Interactive/connectionpool.cpp
@@ -1,9 +1,9 @@
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 
-#include "linkplace.h"
-#include "meteredlink.h"
+#include "meteredconnection.h"
 #include "runvalues.h"
 #include "singleflight.h"
+#include "upstreamentry.h"
 
 #include "sapphirespool/Http/liveness.h"
 #include "sapphirespool/Support/clock.h"
@@ -50,17 +50,17 @@
     return {Failure::Unreachable, upstream.value() + " could not be reached a moment ago", unreachableRetryDelay};
 }
 
-class LocalConnectionPool : public LinkPool, public SlotObserver, public std::enable_shared_from_this<LocalConnectionPool>
+class LocalConnectionPool : public ConnectionPool, public SlotObserver, public std::enable_shared_from_this<LocalConnectionPool>
 {
 public:
-    LocalConnectionPool(std::shared_ptr<LinkConnector> connector, asio::any_io_executor executor)
+    LocalConnectionPool(std::shared_ptr<UpstreamConnector> connector, asio::any_io_executor executor)
         : connector(std::move(connector))
         , executor(std::move(executor))
         , proving(this->executor)
     {
     }
 
-    auto acquire(GroupId group, membership::UpstreamView upstream, LinkClaim claim) -> asio::awaitable<LeaseResult> override
+    auto acquire(GroupId group, membership::UpstreamView upstream, ConnectionRequest claim) -> asio::awaitable<LeaseResult> override
     {
         const auto self = this->shared_from_this();
         const auto id = upstream.id;
@@ -71,9 +71,9 @@
             co_return unreachableReply(id);
         }
         if (!claim.takesSlot || (entry.waiters.empty() && entry.hasSlot())) {
-            if (auto link = takeIdle(entry, claim.values)) {
+            if (auto connection = takeIdle(entry, claim.values)) {
                 this->occupy(entry, claim.takesSlot);
-                co_return this->lease(id, std::move(link), claim.takesSlot);
+                co_return this->lease(id, std::move(connection), claim.takesSlot);
             }
             if (entry.canOpen()) {
                 this->occupy(entry, claim.takesSlot);
@@ -90,10 +90,10 @@
         const auto waiter = std::make_shared<Waiter>(this->executor);
         waiter->takesSlot = claim.takesSlot;
         entry.waiters.emplace(ticket, waiter);
-        waiter->timer.expires_after(claim.patience);
+        waiter->timer.expires_after(claim.waitLimit);
         co_await waiter->timer.async_wait(awaitTuple);
-        if (waiter->link != nullptr) {
-            co_return this->lease(id, std::move(waiter->link), claim.takesSlot);
+        if (waiter->connection != nullptr) {
+            co_return this->lease(id, std::move(waiter->connection), claim.takesSlot);
         }
         if (waiter->mayOpen) {
             co_return co_await this->open(std::move(group), std::move(upstream), claim);
@@ -119,8 +119,8 @@
             co_return std::nullopt;
         }
         auto result = co_await this->connector->connect(std::move(group), std::move(upstream), limit);
-        if (auto *const link = std::get_if<std::shared_ptr<UpstreamLink>>(&result)) {
-            (*link)->close();
+        if (auto *const connection = std::get_if<std::shared_ptr<UpstreamConnection>>(&result)) {
+            (*connection)->close();
             co_return std::nullopt;
         }
         co_return std::get<FailureReply>(std::move(result));
@@ -139,12 +139,12 @@
             co_await this->proving.join(id);
             co_return this->provenSince(id, asked - oldest);
         }
-        auto claim = LinkClaim();
-        claim.patience = limit;
+        auto claim = ConnectionRequest();
+        claim.waitLimit = limit;
         claim.connectLimit = limit;
         claim.takesSlot = false;
         auto leased = co_await this->acquire(std::move(group), std::move(upstream), std::move(claim));
-        auto *const lease = std::get_if<LinkLease>(&leased);
+        auto *const lease = std::get_if<ConnectionLease>(&leased);
         if (lease == nullptr) {
             co_return std::nullopt;
         }
@@ -155,11 +155,11 @@
         co_return proof;
     }
 
-    auto setLimits(const UpstreamId &upstream, const LinkLimits &limits) -> void override
+    auto setLimits(const UpstreamId &upstream, const ConnectionLimits &limits) -> void override
     {
         auto &entry = this->entries[upstream];
         entry.limits = limits;
-        while (!entry.idle.empty() && entry.idle.size() + entry.busy > limits.links) {
+        while (!entry.idle.empty() && entry.idle.size() + entry.busy > limits.connections) {
             entry.idle.front()->close();
             entry.idle.erase(entry.idle.begin());
         }
@@ -175,21 +175,21 @@
         }
         auto &entry = found->second;
         entry.retired = true;
-        for (const auto &link : entry.idle) {
-            link->close();
+        for (const auto &connection : entry.idle) {
+            connection->close();
         }
         entry.idle.clear();
     }
 
-    [[nodiscard]] auto counts(const UpstreamId &upstream) const -> LinkCounts override
+    [[nodiscard]] auto counts(const UpstreamId &upstream) const -> ConnectionCounts override
     {
         const auto found = this->entries.find(upstream);
-        return found == this->entries.end() ? LinkCounts() : countsOf(found->second);
+        return found == this->entries.end() ? ConnectionCounts() : countsOf(found->second);
     }
 
-    [[nodiscard]] auto counts() const -> LinkCounts override
+    [[nodiscard]] auto counts() const -> ConnectionCounts override
     {
-        auto sum = LinkCounts();
+        auto sum = ConnectionCounts();
         for (const auto &[id, entry] : this->entries) {
             const auto part = countsOf(entry);
             sum.idle += part.idle;
@@ -234,14 +234,14 @@
     }
 
 private:
-    static auto countsOf(const UpstreamEntry &entry) -> LinkCounts
+    static auto countsOf(const UpstreamEntry &entry) -> ConnectionCounts
     {
         return {entry.idle.size(), entry.busy, entry.waiters.size(), entry.withoutSlot};
     }
 
     static auto expectedWait(const UpstreamEntry &entry, const decisions::QueuedStatement &statement, TimePoint now) -> Duration
     {
-        return entry.queue.expectedWait(statement, now, entry.serviceTime.mean(), std::min(entry.limits.statements, entry.limits.links));
+        return entry.queue.expectedWait(statement, now, entry.serviceTime.mean(), std::min(entry.limits.statements, entry.limits.connections));
     }
 
     static auto busyReply(std::string detail, Duration wait) -> FailureReply
@@ -260,9 +260,9 @@
 
     static auto takeIdle(UpstreamEntry &entry, const SessionValues &wanted) -> std::shared_ptr<MeteredConnection>
     {
-        std::erase_if(entry.idle, [](const std::shared_ptr<MeteredConnection> &link) {
-            if (!link->isUsable()) {
-                link->close();
+        std::erase_if(entry.idle, [](const std::shared_ptr<MeteredConnection> &connection) {
+            if (!connection->isUsable()) {
+                connection->close();
                 return true;
             }
             return false;
@@ -270,15 +270,15 @@
         if (entry.idle.empty()) {
             return nullptr;
         }
-        auto found = std::find_if(entry.idle.rbegin(), entry.idle.rend(), [&wanted](const std::shared_ptr<MeteredConnection> &link) {
-            return link->state.values == wanted;
+        auto found = std::find_if(entry.idle.rbegin(), entry.idle.rend(), [&wanted](const std::shared_ptr<MeteredConnection> &connection) {
+            return connection->state.values == wanted;
         });
         if (found == entry.idle.rend()) {
             found = entry.idle.rbegin();
         }
-        auto link = std::move(*found);
+        auto connection = std::move(*found);
         entry.idle.erase(std::next(found).base());
-        return link;
+        return connection;
     }
 
     [[nodiscard]] auto provenSince(const UpstreamId &upstream, TimePoint moment) const -> std::optional<PositionProof>
@@ -288,14 +288,14 @@
         return covers ? found->second.proof : std::nullopt;
     }
 
-    static auto proveOn(LinkLease &lease, Duration limit) -> asio::awaitable<std::optional<PositionProof>>
+    static auto proveOn(ConnectionLease &lease, Duration limit) -> asio::awaitable<std::optional<PositionProof>>
     {
         const auto commands = std::vector<Command>{makeCommand(CommandKind::Begin), makeCommand(CommandKind::Rollback)};
-        const auto exchange = co_await lease.link().exchange(commands, limit);
+        const auto exchange = co_await lease.connection().exchange(commands, limit);
         if (exchange.results.size() < commands.size() || exchange.results.back().status != TransactionStatus::None) {
             co_return std::nullopt;
         }
-        lease.giveBack();
+        lease.release();
         const auto &begun = exchange.results.front();
         if (begun.failure || !begun.position) {
             co_return std::nullopt;
@@ -304,20 +304,20 @@
     }
 
     /// Leases a connection that occupy() has already counted.
-    auto lease(const UpstreamId &upstream, std::shared_ptr<MeteredConnection> link, bool takesSlot) -> LeaseResult
+    auto lease(const UpstreamId &upstream, std::shared_ptr<MeteredConnection> connection, bool takesSlot) -> LeaseResult
     {
-        link->withoutSlot = !takesSlot;
-        return LinkLease(this->weak_from_this(), upstream, std::move(link));
+        connection->withoutSlot = !takesSlot;
+        return ConnectionLease(this->weak_from_this(), upstream, std::move(connection));
     }
 
     /// Opens a connection that occupy() has already counted, and leases it.
-    auto open(GroupId group, membership::UpstreamView upstream, LinkClaim claim) -> asio::awaitable<LeaseResult>
+    auto open(GroupId group, membership::UpstreamView upstream, ConnectionRequest claim) -> asio::awaitable<LeaseResult>
     {
         const auto id = upstream.id;
         auto result = co_await this->connector->connect(std::move(group), std::move(upstream), claim.connectLimit);
-        if (auto *const link = std::get_if<std::shared_ptr<UpstreamLink>>(&result)) {
+        if (auto *const connection = std::get_if<std::shared_ptr<UpstreamConnection>>(&result)) {
             markReachable(id, this->entries[id]);
-            auto metered = std::make_shared<MeteredConnection>(std::move(*link), this->weak_from_this(), id);
+            auto metered = std::make_shared<MeteredConnection>(std::move(*connection), this->weak_from_this(), id);
             co_return this->lease(id, std::move(metered), claim.takesSlot);
         }
         auto &entry = this->entries[id];
@@ -339,8 +339,8 @@
             support::log(support::Event::UpstreamAway, {{"upstream", upstream.value()}, {"waiting", entry.waiters.size()}, {"busy", entry.busy}});
         }
         // A network partition does not close connections. A statement sent on one of them would wait until its deadline.
-        for (const auto &link : entry.idle) {
-            link->close();
+        for (const auto &connection : entry.idle) {
+            connection->close();
         }
         entry.idle.clear();
         for (const auto &[ticket, waiter] : std::exchange(entry.waiters, {})) {
@@ -403,21 +403,21 @@
         }
     }
 
-    auto returned(const UpstreamId &upstream, std::shared_ptr<UpstreamLink> given, bool clean) -> void override
+    auto returned(const UpstreamId &upstream, std::shared_ptr<UpstreamConnection> given, bool clean) -> void override
     {
         auto &entry = this->entries[upstream];
         // The pool leases only metered connections.
-        auto link = std::static_pointer_cast<MeteredConnection>(std::move(given));
+        auto connection = std::static_pointer_cast<MeteredConnection>(std::move(given));
         --entry.busy;
-        entry.withoutSlot -= std::exchange(link->withoutSlot, false) ? 1 : 0;
+        entry.withoutSlot -= std::exchange(connection->withoutSlot, false) ? 1 : 0;
         if (clean) {
             markReachable(upstream, entry);
         }
-        const auto keep = clean && !entry.retired && entry.idle.size() + entry.busy < entry.limits.links && link->isUsable();
+        const auto keep = clean && !entry.retired && entry.idle.size() + entry.busy < entry.limits.connections && connection->isUsable();
         if (keep) {
-            entry.idle.push_back(std::move(link));
+            entry.idle.push_back(std::move(connection));
         } else {
-            link->close();
+            connection->close();
         }
         this->serveWaiters(entry);
         this->eraseIfUnused(upstream);
@@ -426,7 +426,7 @@
     auto eraseIfUnused(const UpstreamId &upstream) -> void
     {
         const auto &entry = this->entries[upstream];
-        if (entry.limits.links == 0 && entry.idle.empty() && entry.busy == 0 && entry.waiters.empty()) {
+        if (entry.limits.connections == 0 && entry.idle.empty() && entry.busy == 0 && entry.waiters.empty()) {
             this->entries.erase(upstream);
         }
     }
@@ -440,7 +440,7 @@
             }
             const auto waiter = entry.waiters.extract(*next).mapped();
             if (!entry.idle.empty()) {
-                waiter->link = std::move(entry.idle.back());
+                waiter->connection = std::move(entry.idle.back());
                 entry.idle.pop_back();
             } else {
                 waiter->mayOpen = true;
@@ -450,7 +450,7 @@
         }
     }
 
-    std::shared_ptr<LinkConnector> connector;
+    std::shared_ptr<UpstreamConnector> connector;
     asio::any_io_executor executor;
     std::map<UpstreamId, UpstreamEntry> entries;
     SingleFlight<UpstreamId> proving;
@@ -458,7 +458,7 @@
 
 } // namespace
 
-auto makeLinkPool(std::shared_ptr<LinkConnector> connector, boost::asio::any_io_executor executor) -> std::shared_ptr<LinkPool>
+auto makeConnectionPool(std::shared_ptr<UpstreamConnector> connector, boost::asio::any_io_executor executor) -> std::shared_ptr<ConnectionPool>
 {
     return std::make_shared<LocalConnectionPool>(std::move(connector), std::move(executor));
 }
--- a/lib/Interactive/meteredlink.cpp
+++ b/lib/Interactive/meteredconnection.cpp
@@ -1,4 +1,4 @@
-#include "meteredlink.h"
+#include "meteredconnection.h"
 
 #include "sapphirespool/Support/clock.h"
 
@@ -37,7 +37,7 @@
 
 } // namespace
 
-MeteredConnection::MeteredConnection(std::shared_ptr<UpstreamLink> inner, std::weak_ptr<SlotObserver> observer, UpstreamId upstream)
+MeteredConnection::MeteredConnection(std::shared_ptr<UpstreamConnection> inner, std::weak_ptr<SlotObserver> observer, UpstreamId upstream)
     : inner(std::move(inner))
     , observer(std::move(observer))
     , upstream(std::move(upstream))
--- a/lib/Interactive/meteredlink.h
+++ b/lib/Interactive/meteredconnection.h
@@ -1,7 +1,7 @@
-// meteredlink.h: an upstream connection that reports when it takes and releases a slot of the upstream.
+// meteredconnection.h: an upstream connection that reports when it takes and releases a slot of the upstream.
 #pragma once
 
-#include "sapphirespool/Interactive/upstreamlink.h"
+#include "sapphirespool/Interactive/upstreamconnection.h"
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -41,10 +41,10 @@
 /// the upstream finished it long ago. If they kept their slots, two of them at each proxy that owns connections would keep all callers from
 /// an idle upstream. So an overdue command releases its slot. Its connection stays busy, which bounds the number of such commands by
 /// the connection limit.
-class MeteredConnection : public UpstreamLink
+class MeteredConnection : public UpstreamConnection
 {
 public:
-    MeteredConnection(std::shared_ptr<UpstreamLink> inner, std::weak_ptr<SlotObserver> observer, UpstreamId upstream);
+    MeteredConnection(std::shared_ptr<UpstreamConnection> inner, std::weak_ptr<SlotObserver> observer, UpstreamId upstream);
 
     auto exchange(std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult> override;
     auto close() -> void override;
@@ -57,7 +57,7 @@
     /// Releases the slot of the current exchange when \p timer expires, unless the exchange has ended by then.
     auto watchOverdue(const std::shared_ptr<boost::asio::steady_timer> &timer) -> void;
 
-    std::shared_ptr<UpstreamLink> inner;
+    std::shared_ptr<UpstreamConnection> inner;
     std::weak_ptr<SlotObserver> observer;
     UpstreamId upstream;
 };
--- a/lib/Interactive/positionproofs.cpp
+++ b/lib/Interactive/positionproofs.cpp
@@ -5,7 +5,7 @@
 namespace sapphirespool::interactive
 {
 
-auto PositionProofs::note(TimePoint sent, const DataPosition &position) -> void
+auto PositionProofs::record(TimePoint sent, const DataPosition &position) -> void
 {
     while (!this->proofs.empty() && sent - this->proofs.front().sent > longestAge) {
         this->proofs.pop_front();
--- a/lib/Interactive/primarysearch.cpp
+++ b/lib/Interactive/primarysearch.cpp
@@ -6,14 +6,14 @@
 auto PrimarySearch::begin(const GroupId &group, TimePoint now) -> bool
 {
     const auto [last, isFirst] = this->lastSearch.try_emplace(group, now);
-    if (!isFirst && now - last->second < rest) {
+    if (!isFirst && now - last->second < searchSpacing) {
         return false;
     }
     last->second = now;
     return true;
 }
 
-auto PrimarySearch::note(const GroupId &group, Term viewTerm, const UpstreamId &upstream) -> void
+auto PrimarySearch::record(const GroupId &group, Term viewTerm, const UpstreamId &upstream) -> void
 {
     this->foundPrimaries.insert_or_assign(group, FoundPrimary{viewTerm, upstream});
 }
--- a/lib/Interactive/primarysearch.h
+++ b/lib/Interactive/primarysearch.h
@@ -21,17 +21,17 @@
 {
 public:
     /// Minimum time between two searches of one group; callers that arrive in between use the last result.
-    static constexpr auto rest = std::chrono::milliseconds(100);
+    static constexpr auto searchSpacing = std::chrono::milliseconds(100);
     /// Wait for a view that names the new primary before a search starts, where control VMs are reachable. The view is the usual way to
     /// learn of a new primary, and costs no requests to the members.
-    static constexpr auto viewPatience = std::chrono::milliseconds(150);
+    static constexpr auto viewWaitLimit = std::chrono::milliseconds(150);
 
     /// \return whether \p group may be searched at \p now; if so, \p now is recorded as the time of its last search
     [[nodiscard]] auto begin(const GroupId &group, TimePoint now) -> bool;
 
     /// Records that \p upstream proved to be the primary.
     /// \param viewTerm term of the group in the current view; the result is valid only while the view has this term
-    auto note(const GroupId &group, Term viewTerm, const UpstreamId &upstream) -> void;
+    auto record(const GroupId &group, Term viewTerm, const UpstreamId &upstream) -> void;
 
     /// Removes the result for \p group if it names \p upstream, which refused a request that a primary accepts.
     auto refute(const GroupId &group, const UpstreamId &upstream) -> void;
--- a/lib/Interactive/runvalues.cpp
+++ b/lib/Interactive/runvalues.cpp
@@ -51,14 +51,14 @@
     return guaranteesNoEffect(failure) && failure != Failure::Aborted;
 }
 
-auto rollBackAndRelease(std::shared_ptr<LinkLease> lease) -> asio::awaitable<void>
+auto rollBackAndRelease(std::shared_ptr<ConnectionLease> lease) -> asio::awaitable<void>
 {
     const auto commands = std::vector<Command>{makeCommand(CommandKind::Rollback)};
-    const auto exchange = co_await lease->link().exchange(commands, rollbackTimeout);
+    const auto exchange = co_await lease->connection().exchange(commands, rollbackTimeout);
     const auto clean
         = !exchange.broken && exchange.results.size() == 1 && !exchange.results.front().failure && exchange.results.front().status == TransactionStatus::None;
     if (clean) {
-        lease->giveBack();
+        lease->release();
     }
 }
 
--- a/lib/Interactive/runvalues.h
+++ b/lib/Interactive/runvalues.h
@@ -4,9 +4,9 @@
 // stored in a named variable first.
 #pragma once
 
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 #include "sapphirespool/Interactive/reply.h"
-#include "sapphirespool/Interactive/upstreamlink.h"
+#include "sapphirespool/Interactive/upstreamconnection.h"
 
 #include <boost/asio/awaitable.hpp>
 
@@ -42,6 +42,6 @@
 [[nodiscard]] auto mayRetryElsewhere(Failure failure) -> bool;
 
 /// Rolls back the transaction on \p lease and returns the connection to the pool, so that it need not be reopened.
-auto rollBackAndRelease(std::shared_ptr<LinkLease> lease) -> boost::asio::awaitable<void>;
+auto rollBackAndRelease(std::shared_ptr<ConnectionLease> lease) -> boost::asio::awaitable<void>;
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/sessioncore.cpp
+++ b/lib/Interactive/sessioncore.cpp
@@ -168,7 +168,7 @@
     const auto began = std::chrono::steady_clock::now();
     const auto until = began + waitLimit;
     // A committed view arrives within some milliseconds. If it takes longer it may never arrive: this proxy may be partitioned off.
-    auto searchAt = this->hasControlContact() ? began + PrimarySearch::viewPatience : began;
+    auto searchAt = this->hasControlContact() ? began + PrimarySearch::viewWaitLimit : began;
     auto mayStillAppear = true;
     while (true) {
         auto primary = this->primaryOf(group);
@@ -184,7 +184,7 @@
             co_await searchPrimary(self, group, stalePrimaryId);
             // Without control no view can name a primary here, while another proxy may be able to serve the statement.
             mayStillAppear = this->hasControlContact();
-            searchAt = std::chrono::steady_clock::now() + PrimarySearch::viewPatience;
+            searchAt = std::chrono::steady_clock::now() + PrimarySearch::viewWaitLimit;
             continue;
         }
         co_await this->viewSignal.wait(std::min(until, searchAt));
@@ -215,8 +215,8 @@
         }
         const auto proof = co_await self->parts.pool->prove(group, member.upstream, Duration(0), proofTimeout);
         if (proof) {
-            self->search.note(group, member.term, member.upstream.id);
-            self->proofsOf(group).note(proof->sent, proof->position);
+            self->search.record(group, member.term, member.upstream.id);
+            self->proofsOf(group).record(proof->sent, proof->position);
             support::log(support::Event::PrimaryFound,
                          {{"group", group.value()},
                           {"upstream", member.upstream.id.value()},
@@ -268,7 +268,8 @@
     }
 }
 
-auto SessionCore::exchange(const Member &member, UpstreamLink &connection, std::span<const Command> commands, Duration limit) -> asio::awaitable<ExchangeResult>
+auto SessionCore::exchange(const Member &member, UpstreamConnection &connection, std::span<const Command> commands, Duration limit)
+    -> asio::awaitable<ExchangeResult>
 {
     const auto self = this->shared_from_this();
     const auto upstream = member.upstream.id;
@@ -297,7 +298,7 @@
     }
     const auto proof = co_await this->parts.pool->prove(group, primary->upstream, readAge / proofAgeingDivisor, proofTimeout);
     if (proof) {
-        this->proofsOf(group).note(proof->sent, proof->position);
+        this->proofsOf(group).record(proof->sent, proof->position);
     } else {
         this->proofBackoffUntil[group] = support::now() + proofBackoff;
     }
--- a/lib/Interactive/sessioncore.h
+++ b/lib/Interactive/sessioncore.h
@@ -86,7 +86,8 @@
     auto probe(const Member &member, bool thorough = true) -> void;
 
     /// Runs commands on a connection to \p member. While they run, an unresponsive primary is detected and probed.
-    auto exchange(const Member &member, UpstreamLink &connection, std::span<const Command> commands, Duration limit) -> boost::asio::awaitable<ExchangeResult>;
+    auto exchange(const Member &member, UpstreamConnection &connection, std::span<const Command> commands, Duration limit)
+        -> boost::asio::awaitable<ExchangeResult>;
 
     auto proofsOf(const GroupId &group) -> PositionProofs &;
 
--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -116,9 +116,9 @@
 
 auto CallerSession::acquire(const Target &target, const StatementContext &context) -> asio::awaitable<LeaseResult>
 {
-    auto claim = LinkClaim();
+    auto claim = ConnectionRequest();
     claim.values = this->state.values;
-    claim.patience = std::min<Duration>(queueWaitLimit(context.service, target.member.isPrimary), context.remaining());
+    claim.waitLimit = std::min<Duration>(queueWaitLimit(context.service, target.member.isPrimary), context.remaining());
     claim.connectLimit = std::min<Duration>(connectLimit, context.remaining());
     claim.objective = objectiveOf(context.service);
     claim.priority = context.service.priority;
--- a/lib/Interactive/sessiontransaction.cpp
+++ b/lib/Interactive/sessiontransaction.cpp
@@ -64,15 +64,15 @@
     if (auto *const none = std::get_if<FailureReply>(&leased)) {
         co_return retryElsewhere(std::move(*none));
     }
-    auto lease = std::get<LinkLease>(std::move(leased));
+    auto lease = std::get<ConnectionLease>(std::move(leased));
     // At a primary even a read-only transaction begins as a read-write one, which a stale primary refuses.
     auto begin = makeCommand(target.member.isPrimary ? CommandKind::Begin : CommandKind::BeginReadOnly);
     begin.after = target.after;
-    if (auto why = co_await prepareConnection(lease.link(), this->state, context.shapePointer(), &begin, context.remaining())) {
+    if (auto why = co_await prepareConnection(lease.connection(), this->state, context.shapePointer(), &begin, context.remaining())) {
         const auto notPrimary = why->failure == Failure::ReadOnly;
         if (notPrimary || why->failure == Failure::Lagging) {
             this->recordLagging(target.member, *why);
-            lease.giveBack();
+            lease.release();
         } else {
             this->core->probe(target.member);
             this->core->load.failed(target.member.upstream.id, support::now());
@@ -96,11 +96,12 @@
         if (auto why = co_await this->openTransaction(context)) {
             co_return this->failTransaction(*std::move(why));
         }
-    } else if (auto why = co_await prepareConnection(this->transaction->lease->link(), this->state, context.shapePointer(), nullptr, context.remaining())) {
+    } else if (auto why
+               = co_await prepareConnection(this->transaction->lease->connection(), this->state, context.shapePointer(), nullptr, context.remaining())) {
         this->core->probe(this->transaction->member);
         co_return this->failTransaction(makeFailure(Failure::Aborted, "the connection broke; the transaction was rolled back"));
     }
-    const auto command = commandOf(context.statement, this->transaction->lease->link().state, context.shapePointer());
+    const auto command = commandOf(context.statement, this->transaction->lease->connection().state, context.shapePointer());
     this->transaction->wrote = this->transaction->wrote || context.access == Access::Write;
     const auto exchange = co_await this->exchangeInTransaction(context, command);
     if (exchange.results.empty()) {
@@ -134,7 +135,7 @@
     const auto commands = std::vector<Command>{command};
     auto timer = asio::steady_timer(this->core->parts.executor);
     while (true) {
-        auto exchange = co_await this->core->exchange(this->transaction->member, this->transaction->lease->link(), commands, context.remaining());
+        auto exchange = co_await this->core->exchange(this->transaction->member, this->transaction->lease->connection(), commands, context.remaining());
         // An upstream whose queue is full has not run the statement, and the transaction is still open. Aborting it would lose its
         // earlier statements to avoid a wait of some milliseconds.
         const auto full = !exchange.results.empty() && exchange.results.front().failure && exchange.results.front().failure->failure == Failure::Busy
@@ -150,7 +151,7 @@
 auto CallerSession::runCommit(const StatementContext &context) -> asio::awaitable<Reply>
 {
     auto command = makeCommand(CommandKind::Commit, context.statement.id);
-    command.lasting = this->transaction->wrote;
+    command.mayCommit = this->transaction->wrote;
     const auto exchange = co_await this->exchangeInTransaction(context, command);
     const auto ended = std::move(this->transaction);
     this->transactionStatus = TransactionStatus::None;
@@ -164,7 +165,7 @@
     }
     const auto &result = exchange.results.front();
     if (result.status == TransactionStatus::None) {
-        ended->lease->giveBack();
+        ended->lease->release();
     }
     if (!result.failure) {
         if (ended->wrote) {
@@ -189,7 +190,7 @@
 auto CallerSession::discardTransaction() -> void
 {
     if (this->transaction != nullptr && this->transaction->lease) {
-        auto lease = std::make_shared<LinkLease>(*std::move(this->transaction->lease));
+        auto lease = std::make_shared<ConnectionLease>(*std::move(this->transaction->lease));
         this->transaction->lease.reset();
         --this->core->counts.transactions;
         asio::co_spawn(this->core->parts.executor, rollBackAndRelease(std::move(lease)), asio::detached);
--- a/lib/Interactive/statementrun.cpp
+++ b/lib/Interactive/statementrun.cpp
@@ -35,7 +35,7 @@
 }
 
 /// \return whether the connection has a value that the session lacks; a single value can be changed but not removed
-auto hasForeignValue(const LinkState &connection, const SessionState &session) -> bool
+auto hasForeignValue(const AppliedState &connection, const SessionState &session) -> bool
 {
     return std::any_of(connection.values.begin(), connection.values.end(), [&session](const auto &value) {
         return !session.values.contains(value.first);
@@ -59,7 +59,7 @@
     return failure;
 }
 
-auto stateCommands(const LinkState &connection, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>
+auto stateCommands(const AppliedState &connection, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>
 {
     auto commands = std::vector<Command>();
     const auto needsShape = shape != nullptr && !connection.prepared.contains(*shape);
@@ -79,11 +79,11 @@
     return commands;
 }
 
-auto applyCommand(LinkState &connection, const Command &command) -> void
+auto applyCommand(AppliedState &connection, const Command &command) -> void
 {
     switch (command.kind) {
     case CommandKind::Discard:
-        connection = LinkState();
+        connection = AppliedState();
         return;
     case CommandKind::SetValue:
         connection.values.insert_or_assign(command.name, command.text);
@@ -101,7 +101,7 @@
     }
 }
 
-auto commandOf(const Statement &statement, const LinkState &connection, const PreparedShape *shape) -> Command
+auto commandOf(const Statement &statement, const AppliedState &connection, const PreparedShape *shape) -> Command
 {
     auto command = Command();
     command.id = statement.id;
@@ -113,7 +113,7 @@
     return command;
 }
 
-auto prepareConnection(UpstreamLink &connection, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
+auto prepareConnection(UpstreamConnection &connection, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
     -> boost::asio::awaitable<std::optional<FailureReply>>
 {
     auto commands = stateCommands(connection.state, session, shape);
--- a/lib/Interactive/statementrun.h
+++ b/lib/Interactive/statementrun.h
@@ -1,7 +1,7 @@
 // statementrun.h: synchronizes a connection with a session's state and builds the commands of a statement.
 #pragma once
 
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 #include "sapphirespool/Interactive/statement.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -29,14 +29,14 @@
 ///
 /// Values left by another caller would change the meaning of the statement, and prepared names of different callers collide. Therefore
 /// the values are made equal, and shapes are prepared under per-connection names, which all sessions share.
-[[nodiscard]] auto stateCommands(const LinkState &connection, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>;
+[[nodiscard]] auto stateCommands(const AppliedState &connection, const SessionState &session, const PreparedShape *shape) -> std::vector<Command>;
 
 /// Updates \p connection for a successful \p command.
-auto applyCommand(LinkState &connection, const Command &command) -> void;
+auto applyCommand(AppliedState &connection, const Command &command) -> void;
 
 /// \param shape shape of \p statement if it is a prepared one, else null
 /// \return the command that runs \p statement on a connection in state \p connection
-[[nodiscard]] auto commandOf(const Statement &statement, const LinkState &connection, const PreparedShape *shape) -> Command;
+[[nodiscard]] auto commandOf(const Statement &statement, const AppliedState &connection, const PreparedShape *shape) -> Command;
 
 /// \return the failure of \p command, for Failure::Lagging with the required and the applied position; nothing if it succeeded
 [[nodiscard]] auto failureOf(const Command &command, const CommandResult &result) -> std::optional<FailureReply>;
@@ -45,7 +45,7 @@
 /// \return the failure of the first command that failed; nothing if all succeeded
 ///
 /// No statement of the caller is among the commands, so none can have run after a failure.
-auto prepareConnection(UpstreamLink &connection, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
+auto prepareConnection(UpstreamConnection &connection, const SessionState &session, const PreparedShape *shape, const Command *last, Duration limit)
     -> boost::asio::awaitable<std::optional<FailureReply>>;
 
 } // namespace sapphirespool::interactive
--- a/lib/Interactive/linkplace.h
+++ b/lib/Interactive/upstreamentry.h
@@ -1,11 +1,11 @@
-// linkplace.h: state of a proxy's connection pool for one upstream.
+// upstreamentry.h: state of a proxy's connection pool for one upstream.
 #pragma once
 
-#include "meteredlink.h"
+#include "meteredconnection.h"
 
 #include "sapphirespool/Decisions/serviceestimate.h"
 #include "sapphirespool/Decisions/statementqueue.h"
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 #include "sapphirespool/Support/logbudget.h"
 #include "sapphirespool/Support/presence.h"
 
@@ -22,7 +22,7 @@
 {
 
 /// Limits of an upstream before this proxy's share of it is known.
-constexpr auto initialLimits = LinkLimits{1, 1};
+constexpr auto initialLimits = ConnectionLimits{1, 1};
 
 /// A session that waits for a connection.
 struct Waiter
@@ -35,7 +35,7 @@
     boost::asio::steady_timer timer;
     bool takesSlot = true;
     /// The connection that became available.
-    std::shared_ptr<MeteredConnection> link;
+    std::shared_ptr<MeteredConnection> connection;
     /// Whether the waiter may open a connection; the pool already counts it as busy.
     bool mayOpen = false;
     /// Whether the upstream became unreachable during the wait.
@@ -45,7 +45,7 @@
 /// The connections to one upstream and the sessions that wait for them.
 struct UpstreamEntry
 {
-    LinkLimits limits = initialLimits;
+    ConnectionLimits limits = initialLimits;
     /// Most recently used last.
     std::vector<std::shared_ptr<MeteredConnection>> idle;
     std::size_t busy = 0;
@@ -70,7 +70,7 @@
 
     [[nodiscard]] auto canOpen() const -> bool
     {
-        return this->idle.size() + this->busy < this->limits.links;
+        return this->idle.size() + this->busy < this->limits.connections;
     }
 
     [[nodiscard]] auto hasSlot() const -> bool
--- a/lib/Node/interactivepart.cpp
+++ b/lib/Node/interactivepart.cpp
@@ -43,7 +43,7 @@
         , control(linkToControl(controlLoop, settings, settings.vm, incarnation, this->views))
         , metrics(std::make_shared<metrics::Metrics>())
         , pool(forwarding::makeForwardingPool(
-              settings.vm, settings.zone, interactive::makeLinkPool(edge.linkConnector(traffic.dispatch()), traffic.dispatch()), traffic.dispatch()))
+              settings.vm, settings.zone, interactive::makeConnectionPool(edge.upstreamConnector(traffic.dispatch()), traffic.dispatch()), traffic.dispatch()))
         , sessions(interactive::makeSessionService(this->sessionParts()))
         , callers(edge.callerServer(traffic.dispatch(), this->sessions))
         , readiness(std::make_shared<callers::Readiness>())
--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -31,10 +31,10 @@
 constexpr auto proxyCount = 12;
 
 /// Connects one proxy to the upstreams, unless the test makes them unreachable for it.
-class BlockableConnector : public interactive::LinkConnector
+class BlockableConnector : public interactive::UpstreamConnector
 {
 public:
-    explicit BlockableConnector(std::shared_ptr<interactive::LinkConnector> inner)
+    explicit BlockableConnector(std::shared_ptr<interactive::UpstreamConnector> inner)
         : inner(std::move(inner))
     {
     }
@@ -57,7 +57,7 @@
     bool reachable = true;
 
 private:
-    std::shared_ptr<interactive::LinkConnector> inner;
+    std::shared_ptr<interactive::UpstreamConnector> inner;
 };
 
 /// Twelve proxies in front of an upstream that accepts eleven connections.
@@ -70,7 +70,7 @@
         for (auto number = 0; number < proxyCount; ++number) {
             const auto vm = VmId("vm-" + std::to_string(10 + number));
             this->connectors.push_back(std::make_shared<BlockableConnector>(this->databases.connector()));
-            const auto localPool = interactive::makeLinkPool(this->connectors.back(), this->io.get_executor());
+            const auto localPool = interactive::makeConnectionPool(this->connectors.back(), this->io.get_executor());
             this->pools.push_back(makeForwardingPool(vm, ZoneId("zone-a"), localPool, this->io.get_executor()));
             auto proxy = membership::ProxyView();
             proxy.id = vm;
@@ -115,17 +115,17 @@
 
     /// Acquires a lease and keeps it in leases.
     /// \return why there is none, or nothing on success
-    auto acquire(std::size_t proxy, Duration patience = 50ms) -> std::optional<FailureReply>
+    auto acquire(std::size_t proxy, Duration waitLimit = 50ms) -> std::optional<FailureReply>
     {
-        return this->finish(this->beginAcquire(proxy, patience));
+        return this->finish(this->beginAcquire(proxy, waitLimit));
     }
 
     using PendingLease = std::shared_ptr<std::optional<LeaseResult>>;
 
-    auto beginAcquire(std::size_t proxy, Duration patience) -> PendingLease
+    auto beginAcquire(std::size_t proxy, Duration waitLimit) -> PendingLease
     {
         auto result = std::make_shared<std::optional<LeaseResult>>();
-        asio::co_spawn(this->io, acquireLease(this->pools[proxy], this->view, patience, result), asio::detached);
+        asio::co_spawn(this->io, acquireLease(this->pools[proxy], this->view, waitLimit, result), asio::detached);
         return result;
     }
 
@@ -135,7 +135,7 @@
             this->run(10ms);
         }
         REQUIRE(result->has_value());
-        if (auto *const lease = std::get_if<interactive::LinkLease>(&**result)) {
+        if (auto *const lease = std::get_if<interactive::ConnectionLease>(&**result)) {
             this->leases.push_back(std::move(*lease));
             return std::nullopt;
         }
@@ -154,7 +154,7 @@
         return **result;
     }
 
-    auto exchange(interactive::LinkLease &lease, std::string text) -> interactive::ExchangeResult
+    auto exchange(interactive::ConnectionLease &lease, std::string text) -> interactive::ExchangeResult
     {
         auto result = std::make_shared<std::optional<interactive::ExchangeResult>>();
         asio::co_spawn(this->io, runStatement(lease, std::move(text), result), asio::detached);
@@ -171,7 +171,7 @@
             auto ownership = Ownership(this->view->proxies[proxy].id, ZoneId("zone-a"));
             ownership.viewChanged(*this->view);
             const auto &group = this->view->groups.front();
-            if (ownership.share(group, group.members.front()).links == 0) {
+            if (ownership.share(group, group.members.front()).connections == 0) {
                 return proxy;
             }
         }
@@ -245,9 +245,9 @@
     [[nodiscard]] auto begunAtPrimary() const -> std::vector<TimePoint>
     {
         auto begun = std::vector<TimePoint>();
-        for (const auto &seen : this->databases.seen) {
-            if (seen.command.kind == interactive::CommandKind::Begin) {
-                begun.push_back(seen.at);
+        for (const auto &received : this->databases.received) {
+            if (received.command.kind == interactive::CommandKind::Begin) {
+                begun.push_back(received.at);
             }
         }
         return begun;
@@ -258,17 +258,17 @@
     std::shared_ptr<membership::ClusterView> view;
     std::vector<std::shared_ptr<BlockableConnector>> connectors;
     std::vector<std::shared_ptr<ForwardingPool>> pools;
-    std::vector<interactive::LinkLease> leases;
+    std::vector<interactive::ConnectionLease> leases;
 
 private:
     static auto acquireLease(std::shared_ptr<ForwardingPool> pool,
                              std::shared_ptr<membership::ClusterView> view,
-                             Duration patience,
+                             Duration waitLimit,
                              std::shared_ptr<std::optional<LeaseResult>> result) -> asio::awaitable<void>
     {
         const auto &group = view->groups.front();
-        auto claim = interactive::LinkClaim();
-        claim.patience = patience;
+        auto claim = interactive::ConnectionRequest();
+        claim.waitLimit = waitLimit;
         claim.connectLimit = 500ms;
         *result = co_await pool->acquire(group.id, group.members.front(), std::move(claim));
     }
@@ -282,14 +282,14 @@
         *result = co_await pool->prove(group.id, group.members.front(), oldest, 100ms);
     }
 
-    static auto runStatement(interactive::LinkLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
+    static auto runStatement(interactive::ConnectionLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
         -> asio::awaitable<void>
     {
         auto command = interactive::Command();
         command.id = "s1";
         command.text = std::move(text);
         const auto commands = std::vector<interactive::Command>{command};
-        *result = co_await lease.link().exchange(commands, 500ms);
+        *result = co_await lease.connection().exchange(commands, 500ms);
     }
 };
 
@@ -301,7 +301,7 @@
         : fleet(fleet)
     {
         for (const auto &owner : fleet.ownersFor(proxy)) {
-            const auto localPool = interactive::makeLinkPool(fleet.databases.connector(), this->io.get_executor());
+            const auto localPool = interactive::makeConnectionPool(fleet.databases.connector(), this->io.get_executor());
             this->pools.push_back(makeForwardingPool(owner, ZoneId("zone-a"), localPool, this->io.get_executor()));
             for (auto &member : fleet.view->proxies) {
                 if (member.id == owner) {
@@ -355,7 +355,7 @@
         const auto result = fleet.exchange(fleet.leases.back(), "STORE item " + std::to_string(proxy));
         REQUIRE(result.results.size() == 1);
         CHECK_FALSE(result.results.front().failure);
-        fleet.leases.back().giveBack();
+        fleet.leases.back().release();
         fleet.leases.clear();
         fleet.run(5ms);
         CHECK(fleet.databases.member("a").connections <= 9);
@@ -458,7 +458,7 @@
     const auto second = fleet.beginAcquire(proxy, 500ms);
     fleet.run(900ms);
     owners.runWithFleet(100ms);
-    CHECK(fleet.leases.front().link().isUsable());
+    CHECK(fleet.leases.front().connection().isUsable());
     fleet.leases.clear();
 }
 
@@ -545,11 +545,11 @@
         }
     }
     REQUIRE(remote);
-    fleet.databases.member("a").trouble = [&fleet](const interactive::Command &) {
+    fleet.databases.member("a").fault = [&fleet](const interactive::Command &) {
         for (const auto &pool : fleet.pools) {
             pool->close();
         }
-        return interactive::Trouble::None;
+        return interactive::Fault::None;
     };
     const auto result = fleet.exchange(fleet.leases.back(), "STORE item data");
     CHECK(result.results.empty());
--- a/unittests/Forwarding/ownershiptest.cpp
+++ b/unittests/Forwarding/ownershiptest.cpp
@@ -41,7 +41,7 @@
     for (const auto &proxy : view.proxies) {
         auto ownership = Ownership(proxy.id, proxy.zone);
         ownership.viewChanged(view);
-        sum += ownership.share(view.groups.front(), upstream).links;
+        sum += ownership.share(view.groups.front(), upstream).connections;
     }
     return sum;
 }
@@ -136,7 +136,7 @@
     auto ownership = Ownership(VmId("vm-0"), ZoneId("zone-0"));
     ownership.viewChanged(view);
     CHECK(ownership.ownersOf(view.groups.front(), view.groups.front().members.front()).empty());
-    CHECK(ownership.share(view.groups.front(), view.groups.front().members.front()).links == 3);
+    CHECK(ownership.share(view.groups.front(), view.groups.front().members.front()).connections == 3);
 }
 
 } // namespace sapphirespool::forwarding
--- a/unittests/Interactive/linkpooltest.cpp
+++ b/unittests/Interactive/connectionpooltest.cpp
@@ -1,6 +1,6 @@
 #include "Interactive/fakedatabases.h"
 
-#include "sapphirespool/Interactive/linkpool.h"
+#include "sapphirespool/Interactive/connectionpool.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -26,7 +26,7 @@
 struct SingleSlotPool
 {
     SingleSlotPool()
-        : pool(makeLinkPool(this->databases.connector(), this->io.get_executor()))
+        : pool(makeConnectionPool(this->databases.connector(), this->io.get_executor()))
     {
         this->pool->setLimits(UpstreamId("a"), {4, 1});
     }
@@ -43,7 +43,7 @@
 
     auto run(const PendingLease &pending, std::vector<Command> commands) -> void
     {
-        asio::co_spawn(this->io, send(std::get<LinkLease>(**pending), std::move(commands)), asio::detached);
+        asio::co_spawn(this->io, send(std::get<ConnectionLease>(**pending), std::move(commands)), asio::detached);
         this->runReady();
     }
 
@@ -55,29 +55,29 @@
 
     static auto isGranted(const PendingLease &pending) -> bool
     {
-        return pending->has_value() && std::holds_alternative<LinkLease>(**pending);
+        return pending->has_value() && std::holds_alternative<ConnectionLease>(**pending);
     }
 
     FakeDatabases databases;
     asio::io_context io;
-    std::shared_ptr<LinkPool> pool;
+    std::shared_ptr<ConnectionPool> pool;
 
 private:
     static auto acquireInto(SingleSlotPool &self, std::uint32_t priority, Duration objective, PendingLease pending) -> asio::awaitable<void>
     {
         const auto view = self.databases.view();
         const auto &group = view->groups.front();
-        auto claim = LinkClaim();
-        claim.patience = 10s;
+        auto claim = ConnectionRequest();
+        claim.waitLimit = 10s;
         claim.connectLimit = 1s;
         claim.objective = objective;
         claim.priority = priority;
         *pending = co_await self.pool->acquire(group.id, group.members.front(), std::move(claim));
     }
 
-    static auto send(LinkLease &lease, std::vector<Command> commands) -> asio::awaitable<void>
+    static auto send(ConnectionLease &lease, std::vector<Command> commands) -> asio::awaitable<void>
     {
-        co_await lease.link().exchange(commands, 1s);
+        co_await lease.connection().exchange(commands, 1s);
     }
 };
 
@@ -102,11 +102,11 @@
     const auto booking = upstream.acquire(1, 200ms);
     CHECK_FALSE(read->has_value());
     CHECK_FALSE(booking->has_value());
-    std::get<LinkLease>(**first).giveBack();
+    std::get<ConnectionLease>(**first).release();
     upstream.runReady();
     CHECK(SingleSlotPool::isGranted(booking));
     CHECK_FALSE(read->has_value());
-    std::get<LinkLease>(**booking).giveBack();
+    std::get<ConnectionLease>(**booking).release();
     upstream.runReady();
     CHECK(SingleSlotPool::isGranted(read));
 }
@@ -124,8 +124,8 @@
     upstream.run(paused, {commandOf(CommandKind::Commit)});
     CHECK(upstream.databases.member("a").items.contains("item"));
     CHECK(upstream.pool->counts().withoutSlot == 0);
-    std::get<LinkLease>(**paused).giveBack();
-    std::get<LinkLease>(**other).giveBack();
+    std::get<ConnectionLease>(**paused).release();
+    std::get<ConnectionLease>(**other).release();
     CHECK(upstream.pool->counts().busy == 0);
     CHECK(upstream.pool->counts().idle == 2);
 }
@@ -170,8 +170,8 @@
     auto slot = SingleSlotPool();
     slot.pool->setLimits(UpstreamId("a"), {1, 1});
     const auto lost = slot.acquire(0);
-    slot.databases.member("a").trouble = [](const Command &) {
-        return Trouble::NoAnswer;
+    slot.databases.member("a").fault = [](const Command &) {
+        return Fault::NoAnswer;
     };
     slot.run(lost, {commandOf(CommandKind::Run, "read a")});
     const auto next = slot.acquire(0);
@@ -200,8 +200,8 @@
     // statements waits until its deadline and would keep the slot that the next one needs.
     auto slot = SingleSlotPool();
     const auto lost = slot.acquire(0);
-    slot.databases.member("a").trouble = [](const Command &) {
-        return Trouble::NoAnswer;
+    slot.databases.member("a").fault = [](const Command &) {
+        return Fault::NoAnswer;
     };
     slot.run(lost, {commandOf(CommandKind::Run, "read a")});
     const auto next = slot.acquire(0);
@@ -213,7 +213,7 @@
     // The connection of the lost statement stays busy until the time limit of the exchange; afterwards the counts are correct again.
     slot.io.restart();
     slot.io.run_for(1s);
-    std::get<LinkLease>(**lost).giveBack();
+    std::get<ConnectionLease>(**lost).release();
     CHECK(slot.pool->counts(UpstreamId("a")).withoutSlot == 0);
 }
 
--- a/unittests/Interactive/decisionstest.cpp
+++ b/unittests/Interactive/decisionstest.cpp
@@ -30,9 +30,9 @@
 {
     auto proofs = PositionProofs();
     CHECK_FALSE(proofs.covering(start));
-    proofs.note(start, at(1, 10));
-    proofs.note(start + 100ms, at(1, 20));
-    proofs.note(start + 200ms, at(1, 30));
+    proofs.record(start, at(1, 10));
+    proofs.record(start + 100ms, at(1, 20));
+    proofs.record(start + 200ms, at(1, 30));
     CHECK(proofs.covering(start) == at(1, 10));
     CHECK(proofs.covering(start + 1ms) == at(1, 20));
     CHECK(proofs.covering(start + 200ms) == at(1, 30));
@@ -44,9 +44,9 @@
     // After a primary was replaced, a late answer from the former one names a position of its own log. As the newest proof it would admit
     // reads that lack the new primary's writes.
     auto proofs = PositionProofs();
-    proofs.note(start + 100ms, at(2, 5));
-    proofs.note(start + 50ms, at(2, 4));
-    proofs.note(start + 200ms, at(1, 900));
+    proofs.record(start + 100ms, at(2, 5));
+    proofs.record(start + 50ms, at(2, 4));
+    proofs.record(start + 200ms, at(1, 900));
     REQUIRE(proofs.newest());
     CHECK(proofs.newest()->position == at(2, 5));
     CHECK_FALSE(proofs.covering(start + 101ms));
@@ -103,8 +103,8 @@
     // milliseconds each read would try both replicas first, wait in their queues in vain, and reach the primary with less time until its
     // deadline. So the backoff grows with the replicas' lag.
     auto proofs = PositionProofs();
-    proofs.note(start, at(1, 10));
-    proofs.note(start + 1s, at(1, 20));
+    proofs.record(start, at(1, 10));
+    proofs.record(start + 1s, at(1, 20));
     CHECK(proofs.behind(at(1, 10), start + 9s) == 8s);
     CHECK(proofs.behind(at(1, 20), start + 9s) == 0s);
     auto load = UpstreamLoad();
@@ -144,21 +144,21 @@
 
 TEST_CASE("stateCommands() brings a connection to exactly the session's state")
 {
-    auto link = LinkState();
+    auto connection = AppliedState();
     auto session = SessionState();
     const auto shape = PreparedShape{true, "q1"};
-    CHECK(stateCommands(link, session, nullptr).empty());
+    CHECK(stateCommands(connection, session, nullptr).empty());
     session.values = {{"tenant", "derwent"}};
-    auto commands = stateCommands(link, session, &shape);
+    auto commands = stateCommands(connection, session, &shape);
     REQUIRE(commands.size() == 2);
     for (const auto &command : commands) {
-        applyCommand(link, command);
+        applyCommand(connection, command);
     }
-    CHECK(link.values == session.values);
-    CHECK(link.prepared.contains(shape));
-    CHECK(stateCommands(link, session, &shape).empty());
+    CHECK(connection.values == session.values);
+    CHECK(connection.prepared.contains(shape));
+    CHECK(stateCommands(connection, session, &shape).empty());
     session.values = {{"locale", "jm"}};
-    commands = stateCommands(link, session, &shape);
+    commands = stateCommands(connection, session, &shape);
     REQUIRE(commands.size() == 3);
     CHECK(commands[0].kind == CommandKind::Discard);
     CHECK(commands[1].name == "locale");
@@ -174,7 +174,7 @@
     for (auto caller = 0; caller < 1'000; ++caller) {
         searches += search.begin(GroupId("g"), start + caller * 1ms) ? 1 : 0;
     }
-    CHECK(searches == 1'000ms / PrimarySearch::rest);
+    CHECK(searches == 1'000ms / PrimarySearch::searchSpacing);
     CHECK(search.begin(GroupId("other"), start));
 }
 
@@ -183,7 +183,7 @@
     const auto group = GroupId("g");
     auto search = PrimarySearch();
     CHECK_FALSE(search.foundFor(group, Term(1)));
-    search.note(group, Term(1), UpstreamId("b"));
+    search.record(group, Term(1), UpstreamId("b"));
     CHECK(search.foundFor(group, Term(1)) == UpstreamId("b"));
     CHECK_FALSE(search.foundFor(group, Term(2)));
     CHECK_FALSE(search.foundFor(GroupId("other"), Term(1)));
--- a/unittests/Interactive/fakedatabases.cpp
+++ b/unittests/Interactive/fakedatabases.cpp
@@ -18,7 +18,7 @@
 
 namespace asio = boost::asio;
 
-class FakeConnection : public UpstreamLink
+class FakeConnection : public UpstreamConnection
 {
 public:
     FakeConnection(FakeDatabases &databases, std::string member, std::size_t number)
@@ -80,14 +80,14 @@
             return false;
         }
         const auto isFromCaller = !command.id.empty();
-        const auto trouble = isFromCaller && this->member().trouble ? this->member().trouble(command) : Trouble::None;
-        if (trouble == Trouble::BreakBefore) {
+        const auto fault = isFromCaller && this->member().fault ? this->member().fault(command) : Fault::None;
+        if (fault == Fault::BreakBefore) {
             return false;
         }
-        this->databases.seen.push_back({this->memberId, this->number, command, this->values, support::now()});
-        auto answer = trouble == Trouble::Busy ? this->refuse(Failure::Busy) : this->answer(command);
-        this->answerLost = trouble == Trouble::NoAnswer;
-        if (trouble == Trouble::BreakAfter || this->answerLost) {
+        this->databases.received.push_back({this->memberId, this->number, command, this->values, support::now()});
+        auto answer = fault == Fault::Busy ? this->refuse(Failure::Busy) : this->answer(command);
+        this->answerLost = fault == Fault::NoAnswer;
+        if (fault == Fault::BreakAfter || this->answerLost) {
             return false;
         }
         answer.status = this->status;
@@ -232,7 +232,7 @@
     std::map<std::string, std::string> written;
 };
 
-class FakeConnector : public LinkConnector
+class FakeConnector : public UpstreamConnector
 {
 public:
     explicit FakeConnector(FakeDatabases &databases)
@@ -275,7 +275,7 @@
     this->service.objective = std::chrono::milliseconds(100);
 }
 
-auto FakeDatabases::connector() -> std::shared_ptr<LinkConnector>
+auto FakeDatabases::connector() -> std::shared_ptr<UpstreamConnector>
 {
     return std::make_shared<FakeConnector>(*this);
 }
--- a/unittests/Interactive/fakedatabases.h
+++ b/unittests/Interactive/fakedatabases.h
@@ -4,7 +4,7 @@
 // members unreachable, demote them, let replicas lag, lose answers, and inspect which member ran which command.
 #pragma once
 
-#include "sapphirespool/Interactive/upstreamlink.h"
+#include "sapphirespool/Interactive/upstreamconnection.h"
 
 #include <boost/asio/any_io_executor.hpp>
 
@@ -19,7 +19,7 @@
 {
 
 /// A command that reached a member.
-struct Seen
+struct ReceivedCommand
 {
     std::string member;
     std::size_t connection = 0;
@@ -30,7 +30,7 @@
 };
 
 /// Fault that a member injects into a command.
-enum class Trouble {
+enum class Fault {
     None,
     /// The connection breaks before the command runs.
     BreakBefore,
@@ -54,7 +54,7 @@
     std::size_t connections = 0;
     std::size_t connectionLimit = 100;
     /// Selects the fault for each command of a caller; not called for the proxy's own commands.
-    std::function<Trouble(const Command &)> trouble;
+    std::function<Fault(const Command &)> fault;
 };
 
 class FakeDatabases
@@ -62,7 +62,7 @@
 public:
     FakeDatabases();
 
-    [[nodiscard]] auto connector() -> std::shared_ptr<LinkConnector>;
+    [[nodiscard]] auto connector() -> std::shared_ptr<UpstreamConnector>;
     auto member(const std::string &id) -> FakeMember &;
     [[nodiscard]] auto view() const -> std::shared_ptr<membership::ClusterView>;
 
@@ -73,7 +73,7 @@
     auto promote(const std::string &id) -> void;
 
     std::vector<FakeMember> members;
-    std::vector<Seen> seen;
+    std::vector<ReceivedCommand> received;
     std::size_t connectionsMade = 0;
     membership::ServiceView service;
     /// The primary in the proxy's view.
--- a/unittests/Interactive/sessionfixture.h
+++ b/unittests/Interactive/sessionfixture.h
@@ -18,7 +18,7 @@
 namespace sapphirespool::interactive
 {
 
-class SilentRecorder : public SessionRecorder
+class CountingRecorder : public SessionRecorder
 {
 public:
     auto served(const ServiceId &, Access, bool byPrimary, Duration) -> void override
@@ -51,7 +51,7 @@
         auto parts = SessionServiceDependencies();
         parts.zone = ZoneId("zone-b");
         parts.views = this->views;
-        parts.pool = makeLinkPool(this->databases.connector(), this->io.get_executor());
+        parts.pool = makeConnectionPool(this->databases.connector(), this->io.get_executor());
         parts.recorder = this->recorder;
         parts.executor = this->io.get_executor();
         this->pool = parts.pool;
@@ -98,7 +98,7 @@
     }
 
     /// Runs the event loop for \p time.
-    auto pass(std::chrono::milliseconds time) -> void
+    auto runFor(std::chrono::milliseconds time) -> void
     {
         this->io.restart();
         this->io.run_for(time);
@@ -107,8 +107,8 @@
     FakeDatabases databases;
     boost::asio::io_context io;
     std::shared_ptr<membership::ViewHolder> views = std::make_shared<membership::ViewHolder>();
-    std::shared_ptr<SilentRecorder> recorder = std::make_shared<SilentRecorder>();
-    std::shared_ptr<LinkPool> pool;
+    std::shared_ptr<CountingRecorder> recorder = std::make_shared<CountingRecorder>();
+    std::shared_ptr<ConnectionPool> pool;
     std::shared_ptr<SessionService> service;
 
 private:
--- a/unittests/Interactive/sessiontest.cpp
+++ b/unittests/Interactive/sessiontest.cpp
@@ -54,7 +54,7 @@
 };
 
 /// Fails to open connections through their owner, while direct probes from this proxy succeed unless \p reachable is cleared.
-class OneSidedConnector : public LinkConnector
+class OneSidedConnector : public UpstreamConnector
 {
 public:
     auto connect(GroupId, membership::UpstreamView, Duration) -> boost::asio::awaitable<ConnectResult> override
@@ -73,8 +73,8 @@
 
 auto countKind(const FakeDatabases &databases, CommandKind kind) -> std::size_t
 {
-    return static_cast<std::size_t>(std::count_if(databases.seen.begin(), databases.seen.end(), [kind](const Seen &seen) {
-        return seen.command.kind == kind;
+    return static_cast<std::size_t>(std::count_if(databases.received.begin(), databases.received.end(), [kind](const ReceivedCommand &received) {
+        return received.command.kind == kind;
     }));
 }
 
@@ -103,16 +103,16 @@
     proxy.databases.promote("b");
     proxy.databases.member("b").items["satchel"] = "booked";
     const auto pending = proxy.start(session, fetch("satchel"));
-    proxy.pass(20ms);
+    proxy.runFor(20ms);
     CHECK_FALSE(pending->has_value());
     proxy.databases.viewedPrimary = "b";
     ++proxy.databases.revision;
     proxy.publish();
-    proxy.pass(20ms);
+    proxy.runFor(20ms);
     REQUIRE(pending->has_value());
     CHECK((*pending)->rows == std::vector<std::string>{"booked"});
-    const auto onOld = std::count_if(proxy.databases.seen.begin(), proxy.databases.seen.end(), [](const Seen &seen) {
-        return seen.member == "a" && seen.command.kind == CommandKind::Run;
+    const auto onOld = std::count_if(proxy.databases.received.begin(), proxy.databases.received.end(), [](const ReceivedCommand &received) {
+        return received.member == "a" && received.command.kind == CommandKind::Run;
     });
     CHECK(onOld == 0);
 }
@@ -126,8 +126,8 @@
     proxy.run(session, store("member", "enrolled"));
     CHECK(proxy.run(session, fetch("member")).rows == std::vector<std::string>{"enrolled"});
     proxy.databases.replicate();
-    proxy.databases.member("a").trouble = [](const Command &) {
-        return Trouble::BreakBefore;
+    proxy.databases.member("a").fault = [](const Command &) {
+        return Fault::BreakBefore;
     };
     CHECK(proxy.run(session, fetch("member")).rows == std::vector<std::string>{"enrolled"});
     CHECK(proxy.recorder->byReplica >= 1);
@@ -146,7 +146,7 @@
     for (auto caller = 0; caller < 50; ++caller) {
         pending.push_back(proxy.start(proxy.open(), fetch("satchel")));
     }
-    proxy.pass(50ms);
+    proxy.runFor(50ms);
     for (const auto &reply : pending) {
         REQUIRE(reply->has_value());
         CHECK((*reply)->rows == std::vector<std::string>{"booked"});
@@ -164,12 +164,12 @@
     proxy.databases.promote("b");
     proxy.databases.member("b").items["satchel"] = "booked";
     const auto pending = proxy.start(proxy.open(), fetch("satchel"));
-    proxy.pass(20ms);
+    proxy.runFor(20ms);
     CHECK_FALSE(pending->has_value());
     proxy.databases.viewedPrimary = "b";
     ++proxy.databases.revision;
     proxy.publish();
-    proxy.pass(20ms);
+    proxy.runFor(20ms);
     REQUIRE(pending->has_value());
     CHECK((*pending)->rows == std::vector<std::string>{"booked"});
 }
@@ -180,7 +180,7 @@
     const auto first = proxy.open();
     const auto second = proxy.open();
     proxy.run(first, statementOf(StatementKind::Begin));
-    CHECK(proxy.databases.seen.empty());
+    CHECK(proxy.databases.received.empty());
     proxy.run(first, store("a", "1"));
     proxy.run(second, store("b", "2"));
     proxy.run(first, store("c", "3"));
@@ -189,8 +189,8 @@
     CHECK(committed.signature == "signed");
     auto connections = std::set<std::size_t>();
     auto others = std::set<std::size_t>();
-    for (const auto &seen : proxy.databases.seen) {
-        (seen.command.text == "STORE b 2" ? others : connections).insert(seen.connection);
+    for (const auto &received : proxy.databases.received) {
+        (received.command.text == "STORE b 2" ? others : connections).insert(received.connection);
     }
     CHECK(connections.size() == 1);
     CHECK(others.size() == 1);
@@ -206,7 +206,7 @@
     proxy.run(session, statementOf(StatementKind::Begin));
     proxy.run(session, store("satchel", "half"));
     session->end();
-    proxy.pass(10ms);
+    proxy.runFor(10ms);
     CHECK(proxy.service->counts().transactions == 0);
     const auto next = proxy.open();
     CHECK(proxy.run(next, fetch("satchel")).rows.empty());
@@ -228,15 +228,15 @@
     CHECK_FALSE(proxy.run(first, executePrepared("p", "item data")).failure);
     CHECK(proxy.run(second, executePrepared("p", "item")).rows == std::vector<std::string>{"data"});
     CHECK_FALSE(proxy.run(first, store("x", "y")).failure);
-    for (const auto &seen : proxy.databases.seen) {
-        if (seen.command.kind == CommandKind::Execute && seen.command.text == "item data") {
-            CHECK(seen.values == SessionValues{{"tenant", "derwent"}});
+    for (const auto &received : proxy.databases.received) {
+        if (received.command.kind == CommandKind::Execute && received.command.text == "item data") {
+            CHECK(received.values == SessionValues{{"tenant", "derwent"}});
         }
-        if (seen.command.kind == CommandKind::Execute && seen.command.text == "item") {
-            CHECK(seen.values == SessionValues{{"locale", "jm"}});
+        if (received.command.kind == CommandKind::Execute && received.command.text == "item") {
+            CHECK(received.values == SessionValues{{"locale", "jm"}});
         }
-        if (seen.command.text == "STORE x y") {
-            CHECK(seen.values == SessionValues{{"tenant", "derwent"}});
+        if (received.command.text == "STORE x y") {
+            CHECK(received.values == SessionValues{{"tenant", "derwent"}});
         }
     }
     CHECK(proxy.databases.connectionsMade == 1);
@@ -249,9 +249,9 @@
     // run so that the caller repeats it, the booking would be made twice.
     auto proxy = Proxy(Consistency::Strong);
     auto ran = 0;
-    proxy.databases.member("a").trouble = [&ran](const Command &command) {
+    proxy.databases.member("a").fault = [&ran](const Command &command) {
         ran += command.kind == CommandKind::Run ? 1 : 0;
-        return Trouble::BreakAfter;
+        return Fault::BreakAfter;
     };
     const auto reply = proxy.run(proxy.open(), store("satchel", "booked"));
     REQUIRE(reply.failure);
@@ -268,8 +268,8 @@
     const auto session = proxy.open();
     proxy.run(session, statementOf(StatementKind::Begin));
     proxy.run(session, store("a", "1"));
-    proxy.databases.member("a").trouble = [](const Command &) {
-        return Trouble::BreakAfter;
+    proxy.databases.member("a").fault = [](const Command &) {
+        return Fault::BreakAfter;
     };
     const auto statement = proxy.run(session, store("b", "2"));
     CHECK(statement.failure->failure == Failure::Aborted);
@@ -277,11 +277,11 @@
     CHECK(proxy.run(session, fetch("a")).failure->failure == Failure::Malformed);
     CHECK(proxy.run(session, statementOf(StatementKind::Rollback)).status == TransactionStatus::None);
     CHECK(proxy.databases.member("a").items.empty());
-    proxy.databases.member("a").trouble = nullptr;
+    proxy.databases.member("a").fault = nullptr;
     proxy.run(session, statementOf(StatementKind::Begin));
     proxy.run(session, store("a", "1"));
-    proxy.databases.member("a").trouble = [](const Command &command) {
-        return command.kind == CommandKind::Commit ? Trouble::BreakAfter : Trouble::None;
+    proxy.databases.member("a").fault = [](const Command &command) {
+        return command.kind == CommandKind::Commit ? Fault::BreakAfter : Fault::None;
     };
     const auto commit = proxy.run(session, statementOf(StatementKind::Commit));
     CHECK(commit.failure->failure == Failure::InDoubt);
@@ -295,8 +295,8 @@
     proxy.run(session, store("parcel", "sent"));
     proxy.databases.replicate();
     for (const auto *const id : {"a", "b"}) {
-        proxy.databases.member(id).trouble = [](const Command &) {
-            return Trouble::BreakBefore;
+        proxy.databases.member(id).fault = [](const Command &) {
+            return Fault::BreakBefore;
         };
     }
     CHECK(proxy.run(session, fetch("parcel")).rows == std::vector<std::string>{"sent"});
@@ -317,7 +317,7 @@
     CHECK(guaranteesNoEffect(reply.failure->failure));
     CHECK(reply.failure->retryAfter);
     CHECK(std::chrono::steady_clock::now() - began < 180ms);
-    CHECK(proxy.databases.seen.empty());
+    CHECK(proxy.databases.received.empty());
 }
 
 TEST_CASE("a statement of a transaction waits while the upstream's queue is full")
@@ -328,8 +328,8 @@
     proxy.run(session, statementOf(StatementKind::Begin));
     proxy.run(session, store("a", "1"));
     auto refusals = 2;
-    proxy.databases.member("a").trouble = [&refusals](const Command &) {
-        return refusals-- > 0 ? Trouble::Busy : Trouble::None;
+    proxy.databases.member("a").fault = [&refusals](const Command &) {
+        return refusals-- > 0 ? Fault::Busy : Fault::None;
     };
     CHECK_FALSE(proxy.run(session, store("b", "2")).failure);
     CHECK_FALSE(proxy.run(session, statementOf(StatementKind::Commit)).failure);
@@ -345,7 +345,7 @@
     const auto session = proxy.open();
     proxy.run(session, statementOf(StatementKind::Begin));
     proxy.run(session, store("a", "1"));
-    proxy.pass(60ms);
+    proxy.runFor(60ms);
     CHECK(proxy.service->counts().transactions == 0);
     CHECK(proxy.run(session, statementOf(StatementKind::Commit)).failure->failure == Failure::Aborted);
     CHECK(proxy.databases.member("a").items.empty());
@@ -424,7 +424,7 @@
     {
         proxy.databases.replicate();
         proxy.databases.promote("c");
-        std::this_thread::sleep_for(PrimarySearch::rest);
+        std::this_thread::sleep_for(PrimarySearch::searchSpacing);
         CHECK_FALSE(proxy.run(session, store("a", "3")).failure);
         CHECK(proxy.databases.member("c").items.at("a") == "3");
     }
@@ -447,13 +447,13 @@
     auto proxy = Proxy(Consistency::Strong);
     proxy.databases.member("a").reachable = false;
     const auto pending = proxy.start(proxy.open(), store("a", "1"));
-    proxy.pass(80ms);
+    proxy.runFor(80ms);
     REQUIRE_FALSE(pending->has_value());
     proxy.databases.promote("b");
     proxy.databases.viewedPrimary = "b";
     ++proxy.databases.revision;
     proxy.publish();
-    proxy.pass(100ms);
+    proxy.runFor(100ms);
     REQUIRE(pending->has_value());
     CHECK_FALSE((*pending)->failure);
     CHECK(proxy.databases.member("b").items.at("a") == "1");
@@ -470,7 +470,7 @@
     auto parts = SessionServiceDependencies();
     parts.views = proxy.views;
     parts.control = control;
-    parts.pool = makeLinkPool(connector, proxy.io.get_executor());
+    parts.pool = makeConnectionPool(connector, proxy.io.get_executor());
     parts.recorder = proxy.recorder;
     parts.executor = proxy.io.get_executor();
     proxy.service = makeSessionService(std::move(parts));
@@ -498,14 +498,14 @@
     // The old primary may have run the write; resent to the new one, it would run twice.
     auto proxy = Proxy(Consistency::Strong);
     proxy.views->noteContact(support::now() - 2s);
-    proxy.databases.member("a").trouble = [](const Command &) {
-        return Trouble::BreakAfter;
+    proxy.databases.member("a").fault = [](const Command &) {
+        return Fault::BreakAfter;
     };
     const auto session = proxy.open();
     const auto pending = proxy.start(session, store("a", "1"));
-    proxy.pass(20ms);
+    proxy.runFor(20ms);
     proxy.databases.promote("b");
-    proxy.pass(300ms);
+    proxy.runFor(300ms);
     REQUIRE(pending->has_value());
     REQUIRE((*pending)->failure);
     CHECK((*pending)->failure->failure == Failure::InDoubt);
@@ -529,14 +529,14 @@
         ++waited;
     };
     boost::asio::co_spawn(proxy.io, wait, boost::asio::detached);
-    proxy.pass(20ms);
+    proxy.runFor(20ms);
     CHECK(waited == 0);
     proxy.publish();
-    proxy.pass(1ms);
+    proxy.runFor(1ms);
     CHECK(waited == 1);
     CHECK(std::holds_alternative<std::shared_ptr<Session>>(proxy.service->open("orders")));
     boost::asio::co_spawn(proxy.io, wait, boost::asio::detached);
-    proxy.pass(1ms);
+    proxy.runFor(1ms);
     CHECK(waited == 2);
 }
 
@@ -555,7 +555,7 @@
         over = true;
     };
     boost::asio::co_spawn(proxy.io, wait, boost::asio::detached);
-    proxy.pass(500ms);
+    proxy.runFor(500ms);
     CHECK(over);
     const auto opened = service->open("orders");
     const auto *const why = std::get_if<FailureReply>(&opened);
