--- a/include/sapphirespool/Sessions/coverage.h
+++ b/include/sapphirespool/Sessions/coverage.h
@@ -1,4 +1,4 @@
-// coverage.h: compares a session's positions with those of answers, over the terms of a group.
+// coverage.h: compares the positions a session has seen with those of answers, across the terms of a group.
 #pragma once
 
 #include "sapphirespool/Membership/clusterview.h"
@@ -18,16 +18,16 @@
     auto operator<=>(const TermPosition &) const = default;
 };
 
-/// What a read must reach, in the group's present term.
+/// Maps a position that a session has seen to the position that its reads must reach in the group's current term.
 ///
-/// What a session saw in an ended term above the point where the next term began no longer exists: no member can ever show it, and
-/// a read that waited for it would wait for ever. No acknowledged write is lost by it, since a promotion keeps all of them.
-/// \return nothing if \p seen is of a later term than \p group knows of, so that the view is behind
+/// Entries of an ended term above the start of the next term were discarded by the promotion. No member can serve them again, so
+/// a read that waited for them would never finish. No acknowledged write is lost, since a promotion keeps all of them.
+/// \return nothing if the term of \p seen is later than the term of \p group, because the view is then outdated
 [[nodiscard]] auto standingDebt(const membership::GroupView &group, const TermPosition &seen) -> std::optional<TermPosition>;
 
-/// \param needed what standingDebt() gave
+/// \param needed   position returned by standingDebt()
 /// \param answered term and position of the upstream that answered
-/// \return whether the answer rests on all that was needed
+/// \return whether the answer reflects every entry up to \p needed
 [[nodiscard]] auto covers(const membership::GroupView &group, const TermPosition &needed, const TermPosition &answered) -> bool;
 
 } // namespace sapphirespool::sessions
--- a/include/sapphirespool/Sessions/home.h
+++ b/include/sapphirespool/Sessions/home.h
@@ -1,4 +1,4 @@
-// home.h: keeps the positions of sessions whose callers bring the session id and no token.
+// home.h: stores the positions of sessions whose callers send a session id without a token.
 #pragma once
 
 #include "sapphirespool/Sessions/coverage.h"
@@ -13,24 +13,25 @@
 namespace sapphirespool::sessions
 {
 
-/// Copies of a session's positions, in different zones. Both are asked, so one that missed a write does no harm.
+/// Copies of a session's positions, in different zones. Reads query both, so a copy that missed a write causes no stale read.
 inline constexpr auto homeCopies = std::size_t{2};
 
-/// Positions of sessions, by group; the part of one home.
+/// Stores the positions of sessions per group, as one of the homes of each session.
 ///
-/// Each position comes from an answer of a primary. The log of a group has one order, so a position covers all that was acknowledged
-/// before it in that group, whoever wrote it; an entry is therefore never half of the truth. What is not there is unknown, not zero.
+/// Each position comes from an answer of a primary. The log of a group is totally ordered, so a position covers all writes that were
+/// acknowledged before it in that group, whoever made them; an entry is therefore never partial. A missing entry means that the
+/// position is unknown, not that it is zero.
 class SessionHome
 {
 public:
-    /// \param limit entries that are kept; beyond it the oldest are forgotten, and their reads go to the primary
-    /// \param life  time for which an entry is kept after its last update
-    SessionHome(std::size_t limit, Duration life);
+    /// \param limit     maximum number of entries; beyond it the oldest are evicted, and reads of their sessions go to the primary
+    /// \param retention time for which an entry is kept after its last update
+    SessionHome(std::size_t limit, Duration retention);
 
-    /// Takes in that \p session has come to \p seen in \p group.
+    /// Records that \p session has seen \p seen in \p group. An earlier position does not replace a later one.
     auto update(const SessionId &session, const GroupId &group, const TermPosition &seen, TimePoint now) -> void;
 
-    /// \return what \p session has seen of \p group, or nothing if that is not known here
+    /// \return what \p session has seen of \p group, or nothing if this home has no unexpired entry
     [[nodiscard]] auto find(const SessionId &session, const GroupId &group, TimePoint now) const -> std::optional<TermPosition>;
 
     auto forgetAll() -> void;
@@ -53,9 +54,9 @@
     auto dropOldest(TimePoint now) -> void;
 
     std::size_t limit;
-    Duration life;
+    Duration retention;
     std::unordered_map<std::string, Entry> entries;
-    std::deque<Expiry> order;
+    std::deque<Expiry> expiryQueue;
 };
 
 } // namespace sapphirespool::sessions
--- a/include/sapphirespool/Sessions/keyattempt.h
+++ b/include/sapphirespool/Sessions/keyattempt.h
@@ -12,20 +12,20 @@
 namespace sapphirespool::sessions
 {
 
-/// No other attempt has been sent, and none will be: send now.
+/// No other attempt has been sent or will be, so this one may be sent.
 struct MaySend
 {
 };
 
-/// An earlier attempt ended; this is its outcome.
+/// An earlier attempt has finished with this outcome.
 struct AlreadyFinished
 {
     std::string outcome;
 };
 
-/// Why an attempt must not send.
+/// Why an attempt must not be sent.
 enum class KeyRefusal {
-    /// Too few holders answered, or too few could vouch.
+    /// Too few holders replied, or too few of them were authoritative.
     HoldersUnreachable,
     InProgress,
     OutcomeUnknown,
@@ -34,29 +34,30 @@
 
 using KeyDecision = std::variant<MaySend, AlreadyFinished, KeyRefusal>;
 
-/// One attempt at its coordinator. Any two sets of replies that allow a send share a holder, which recorded only one attempt;
-/// so of all attempts with one key at most one is sent within the life of a record.
+/// The coordinator's state of one attempt. Any two sets of replies that allow a send have a holder in common, which recorded only
+/// one of the attempts. Of all attempts with one key at most one is therefore sent within the retention time of a record.
 class KeyAttempt
 {
 public:
-    /// \param holders how many holders were asked
+    /// \param holders number of holders that the KeyStart was sent to
     explicit KeyAttempt(std::size_t holders);
 
-    /// Takes in what the holder of number \p holder said; nothing if it did not answer in time.
+    /// Processes the reply of the holder with index \p holder.
+    /// \param reply nothing if the holder did not reply in time
     auto handle(std::size_t holder, std::optional<KeyReply> reply) -> void;
 
-    /// \return the decision as soon as it stands; it does not change afterwards
+    /// \return the decision once it is made; it does not change afterwards
     [[nodiscard]] auto decision() const -> const std::optional<KeyDecision> &;
 
 private:
     [[nodiscard]] auto decide() const -> std::optional<KeyDecision>;
     [[nodiscard]] auto maySend() const -> bool;
     [[nodiscard]] auto count(KeyState state) const -> std::size_t;
-    [[nodiscard]] auto neededVouchers() const -> std::size_t;
+    [[nodiscard]] auto requiredAuthoritativeReplies() const -> std::size_t;
 
     std::size_t majority;
     std::size_t outstanding;
-    std::vector<bool> heard;
+    std::vector<bool> hasReplied;
     std::vector<KeyReply> replies;
     std::optional<KeyDecision> decided;
 };
--- a/include/sapphirespool/Sessions/keyrecord.h
+++ b/include/sapphirespool/Sessions/keyrecord.h
@@ -1,4 +1,4 @@
-// keyrecord.h: what one holder knows of the requests that carry an idempotency key.
+// keyrecord.h: the records of one holder about requests that carry an idempotency key.
 #pragma once
 
 #include "sapphirespool/Sessions/holderhistory.h"
@@ -16,28 +16,28 @@
 /// Copies of a key's record, in different zones. A majority of three survives the loss of one VM and the restart of another.
 inline constexpr auto keyCopies = std::size_t{3};
 
-/// Name of one attempt to run a request; no two attempts share it, whichever proxies make them.
+/// Identifies one attempt to run a request; unique across all proxies.
 using AttemptId = support::StrongType<struct AttemptIdTag, std::string>;
 
-/// Digest of what a request asks for; tells a resend from another request under the same key.
+/// Digest of a request's content; distinguishes a resend from a different request with the same key.
 using Fingerprint = support::StrongType<struct FingerprintTag, std::uint64_t>;
 
-/// Service and idempotency key in one name.
+/// Service and idempotency key, joined to one name.
 using KeyName = support::StrongType<struct KeyNameTag, std::string>;
 
 [[nodiscard]] auto makeKeyName(const ServiceId &service, const IdempotencyKey &key) -> KeyName;
 
-/// Asks a holder to record that an attempt is about to send.
+/// Sent by a coordinator to a holder, to record that an attempt is about to be sent.
 struct KeyStart
 {
     KeyName key;
     Fingerprint fingerprint;
     AttemptId attempt;
-    /// Time after which the attempt has ended one way or another.
+    /// Time after which the attempt has ended, whatever its outcome.
     std::chrono::milliseconds allowed{0};
 };
 
-/// Tells a holder how an attempt ended.
+/// Sent by a coordinator to a holder, to record the outcome of an attempt.
 struct KeyFinish
 {
     KeyName key;
@@ -46,26 +46,26 @@
     std::string outcome;
 };
 
-/// Tells a holder that an attempt has sent nothing and never will.
+/// Sent by a coordinator to a holder when an attempt was not sent and never will be.
 struct KeyAbandon
 {
     KeyName key;
     AttemptId attempt;
 };
 
-/// What a holder says to a KeyStart.
+/// A holder's reply to a KeyStart.
 enum class KeyState {
-    /// Recorded; this holder would know of any earlier attempt, and there was none.
+    /// Recorded. This holder is authoritative for the key, and there was no earlier attempt.
     Started,
-    /// Recorded; but an earlier attempt may have been forgotten, or never told to this holder.
+    /// Recorded, but this holder is not authoritative: it may have lost the record of an earlier attempt or never received it.
     StartedUnsure,
-    /// Not recorded, because the holder is full.
+    /// Not recorded, because the holder has reached its limit of records.
     Full,
-    /// Another attempt has started and may still run.
+    /// Another attempt has started and may still be running.
     InProgress,
-    /// Another attempt ended and this is its outcome.
+    /// Another attempt has finished; the reply carries its outcome.
     Finished,
-    /// Another attempt started, its time is over, and no outcome was recorded.
+    /// Another attempt started, its time has elapsed, and no outcome was recorded.
     OutcomeUnknown,
     /// The key belongs to a different request.
     Reused,
@@ -74,17 +74,19 @@
 struct KeyReply
 {
     KeyState state = KeyState::Full;
-    /// Only if the state is Finished.
+    /// Set only if the state is Finished.
     std::string outcome;
-    /// Proxies that the holder has seen within the life of a record.
+    /// Number of proxies that the holder has seen in views within the retention time of a record.
     std::uint32_t proxiesSeen = 0;
 };
 
-/// The records of one holder.
+/// Stores the records of one holder.
+///
+/// A resend with the same key finds the record of the earlier attempt until it expires, and does not run a second time.
 class KeyHolder
 {
 public:
-    KeyHolder(std::size_t limit, Duration life);
+    KeyHolder(std::size_t limit, Duration retention);
 
     auto start(const KeyStart &start, const HolderHistory &history, TimePoint now) -> KeyReply;
     auto finish(const KeyFinish &finish, TimePoint now) -> void;
@@ -97,7 +99,7 @@
     {
         Fingerprint fingerprint;
         AttemptId attempt;
-        /// When the attempt's own time is over.
+        /// When the time allowed for the attempt has elapsed.
         TimePoint attemptEnd;
         TimePoint expiry;
         bool finished = false;
@@ -110,13 +112,13 @@
         KeyName key;
     };
 
-    [[nodiscard]] static auto known(const Record &record, const KeyStart &start, TimePoint now) -> KeyState;
+    [[nodiscard]] static auto stateOf(const Record &record, const KeyStart &start, TimePoint now) -> KeyState;
     auto expire(TimePoint now) -> void;
 
     std::size_t limit;
-    Duration life;
+    Duration retention;
     std::unordered_map<KeyName, Record> records;
-    std::deque<Expiry> order;
+    std::deque<Expiry> expiryQueue;
 };
 
 } // namespace sapphirespool::sessions
--- a/include/sapphirespool/Sessions/rendezvous.h
+++ b/include/sapphirespool/Sessions/rendezvous.h
@@ -1,4 +1,4 @@
-// rendezvous.h: chooses the proxies that keep something for a name, the same on each proxy of one view.
+// rendezvous.h: chooses the proxies that hold copies for a name; all proxies with the same view choose the same ones.
 #pragma once
 
 #include "sapphirespool/Membership/clusterview.h"
@@ -12,7 +12,7 @@
 namespace sapphirespool::sessions
 {
 
-/// A proxy that keeps a copy, as this view knows it.
+/// A proxy that holds a copy, as listed in the view.
 struct Holder
 {
     VmId vm;
@@ -22,13 +22,13 @@
     auto operator==(const Holder &) const -> bool = default;
 };
 
-/// \return the proxies of \p view that may keep copies
+/// \return the proxies of \p view that are eligible as holders
 [[nodiscard]] auto candidates(const membership::ClusterView &view) -> std::vector<Holder>;
 
-/// Picks by rendezvous hash: the best of each zone first, then others if there are fewer zones than copies.
+/// Selects holders by rendezvous hashing: the highest score of each zone first, then others if there are fewer zones than copies.
 ///
-/// A holder of a set is also a holder of each smaller set that still contains it.
-/// \return at most \p copies holders for \p name, best first
+/// A holder chosen from a set is also chosen from each subset that contains it.
+/// \return at most \p copies holders for \p name; within each of these two steps, the highest score comes first
 [[nodiscard]] auto chooseHolders(std::string_view name, std::span<const Holder> among, std::size_t copies) -> std::vector<Holder>;
 
 } // namespace sapphirespool::sessions
--- a/include/sapphirespool/Sessions/token.h
+++ b/include/sapphirespool/Sessions/token.h
@@ -1,4 +1,4 @@
-// token.h: the token by which a caller carries what its session has seen.
+// token.h: the token with which a caller carries the positions that its session has seen.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -13,7 +13,7 @@
 namespace sapphirespool::sessions
 {
 
-/// How far a session has come in one group.
+/// The latest position that a session has seen in one group.
 struct SeenPosition
 {
     GroupId group;
@@ -23,14 +23,14 @@
     auto operator==(const SeenPosition &) const -> bool = default;
 };
 
-/// A session and the positions that its reads must not fall behind.
+/// A session id and the positions that the session's reads must reach.
 ///
-/// Its size is bounded: beyond the bound the group that was seen longest ago is dropped and the token is marked as incomplete.
-/// A group that an incomplete token does not name is read at the primary only.
+/// The size is bounded: beyond groupLimit the least recently used group is dropped and the token is marked as incomplete.
+/// A group that is missing from an incomplete token is read from the primary only.
 class SessionToken
 {
 public:
-    /// Groups in one token. At about 40 characters each the header stays near 1.3 kB, far below the 16 KiB of a request's headers.
+    /// Maximum number of groups in one token. At about 40 characters each the header stays near 1.3 kB, far below the 16 KiB of a request's headers.
     static constexpr auto groupLimit = std::size_t{32};
 
     explicit SessionToken(SessionId id);
@@ -41,41 +41,41 @@
     /// \return the position in \p group, or nothing if none is known
     [[nodiscard]] auto find(const GroupId &group) const -> const SeenPosition *;
 
-    /// \return whether a group that is not named was never seen by the session
+    /// \return whether a group that is missing from the token was never seen by the session
     [[nodiscard]] auto isComplete() const -> bool;
     auto markIncomplete() -> void;
 
-    /// Takes in that the session has seen \p seen. The later of two positions stays; a later term is later at any position.
+    /// Records that the session has seen \p seen. Keeps the later of two positions in a group; positions compare by term first.
     auto merge(SeenPosition seen) -> void;
 
     auto operator==(const SessionToken &) const -> bool = default;
 
 private:
     SessionId sessionId;
-    /// Ordered by last use.
+    /// Ordered by last use, least recent first.
     std::vector<SeenPosition> seen;
     bool complete = true;
 };
 
-/// Why a text is no token.
+/// Why a text cannot be decoded as a token.
 enum class TokenError {
     Malformed,
     ChecksumMismatch,
     UnknownVersion,
 };
 
-/// What is wrong with a token, and what to do.
+/// \return the error message for the caller: what is wrong with the token and how to proceed
 [[nodiscard]] auto describe(TokenError error) -> std::string_view;
 
 using DecodedToken = std::variant<SessionToken, TokenError>;
 
-/// \return \p token as text of letters, digits, dots and dashes, fit for headers, cookies and addresses; it begins with the session id
+/// \return \p token as text of letters, digits, dots and dashes, valid in headers, cookies and URLs; it begins with the session id
 [[nodiscard]] auto encode(const SessionToken &token) -> std::string;
 
-/// Reads what encode() wrote. A session id alone gives an incomplete token without positions.
+/// Decodes the output of encode(). A session id alone decodes to an incomplete token without positions.
 [[nodiscard]] auto decode(std::string_view text) -> DecodedToken;
 
-/// \return a session id made of \p random
+/// \return a session id that encodes \p random
 [[nodiscard]] auto makeSessionId(std::uint64_t random) -> SessionId;
 
 } // namespace sapphirespool::sessions
--- a/lib/Sessions/coverage.cpp
+++ b/lib/Sessions/coverage.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/// \return \p position without what the terms after \p term dropped
+/// \return \p position of \p term, limited to the entries that all later terms kept
 auto keptPosition(const membership::GroupView &group, Term term, LogPosition position) -> LogPosition
 {
     for (const auto &start : group.history) {
@@ -34,8 +34,8 @@
     if (answered.term >= needed.term) {
         return answered.position >= needed.position;
     }
-    // A replica that still follows an ended term may hold entries that the next term dropped. By their number they would cover
-    // a write of the next term at the same position, and the caller would miss its own write.
+    // A replica that still follows an ended term may hold entries that the next term discarded. Compared by position alone, they
+    // would cover a write of the next term at the same position, and the caller would not read its own write.
     return keptPosition(group, answered.term, answered.position) >= needed.position;
 }
 
--- a/lib/Sessions/holderhistory.cpp
+++ b/lib/Sessions/holderhistory.cpp
@@ -18,21 +18,21 @@
 
 } // namespace
 
-HolderHistory::HolderHistory(VmId self, Duration life, Duration warmup, TimePoint now)
+HolderHistory::HolderHistory(VmId self, Duration retention, Duration warmup, TimePoint now)
     : self(std::move(self))
-    , life(life)
-    , vouchFrom(now + warmup)
+    , retention(retention)
+    , authoritativeFrom(now + warmup)
 {
 }
 
 auto HolderHistory::viewChanged(std::span<const Holder> proxies, TimePoint now) -> void
 {
-    while (!this->departed.empty() && this->departed.front().forgetAt <= now) {
+    while (!this->departed.empty() && this->departed.front().expiry <= now) {
         this->departed.pop_front();
     }
     for (const auto &before : this->present) {
         if (!contains(proxies, before.vm)) {
-            this->departed.push_back({before, now + this->life});
+            this->departed.push_back({before, now + this->retention});
         }
     }
     this->present.assign(proxies.begin(), proxies.end());
@@ -40,12 +40,12 @@
 
 auto HolderHistory::missedViews(TimePoint now) -> void
 {
-    this->vouchFrom = std::max(this->vouchFrom, now + this->life);
+    this->authoritativeFrom = std::max(this->authoritativeFrom, now + this->retention);
 }
 
-auto HolderHistory::vouches(std::string_view name, std::size_t copies, TimePoint now) const -> bool
+auto HolderHistory::isAuthoritative(std::string_view name, std::size_t copies, TimePoint now) const -> bool
 {
-    return now >= this->vouchFrom && this->heldThroughout(name, copies, now);
+    return now >= this->authoritativeFrom && this->heldThroughout(name, copies, now);
 }
 
 auto HolderHistory::heldThroughout(std::string_view name, std::size_t copies, TimePoint now) const -> bool
@@ -53,20 +53,20 @@
     if (!this->isPresent(this->self)) {
         return false;
     }
-    return contains(chooseHolders(name, this->everyone(now), copies), this->self);
+    return contains(chooseHolders(name, this->recentProxies(now), copies), this->self);
 }
 
 auto HolderHistory::proxiesSeen(TimePoint now) const -> std::size_t
 {
-    return this->everyone(now).size();
+    return this->recentProxies(now).size();
 }
 
-auto HolderHistory::everyone(TimePoint now) const -> std::vector<Holder>
+auto HolderHistory::recentProxies(TimePoint now) const -> std::vector<Holder>
 {
     auto all = this->present;
-    for (const auto &gone : this->departed) {
-        if (gone.forgetAt > now && !contains(all, gone.holder.vm)) {
-            all.push_back(gone.holder);
+    for (const auto &entry : this->departed) {
+        if (entry.expiry > now && !contains(all, entry.holder.vm)) {
+            all.push_back(entry.holder);
         }
     }
     return all;
--- a/lib/Sessions/home.cpp
+++ b/lib/Sessions/home.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-SessionHome::SessionHome(std::size_t limit, Duration life)
+SessionHome::SessionHome(std::size_t limit, Duration retention)
     : limit(limit)
-    , life(life)
+    , retention(retention)
 {
 }
 
@@ -28,8 +28,8 @@
     auto name = entryName(session, group);
     auto &entry = this->entries[name];
     entry.seen = std::max(entry.seen, seen);
-    entry.expiry = now + this->life;
-    this->order.push_back({entry.expiry, std::move(name)});
+    entry.expiry = now + this->retention;
+    this->expiryQueue.push_back({entry.expiry, std::move(name)});
 }
 
 auto SessionHome::find(const SessionId &session, const GroupId &group, TimePoint now) const -> std::optional<TermPosition>
@@ -44,7 +44,7 @@
 auto SessionHome::forgetAll() -> void
 {
     this->entries.clear();
-    this->order.clear();
+    this->expiryQueue.clear();
 }
 
 auto SessionHome::size() const -> std::size_t
@@ -54,9 +54,9 @@
 
 auto SessionHome::dropOldest(TimePoint now) -> void
 {
-    while (!this->order.empty()) {
-        const auto &oldest = this->order.front();
-        if (oldest.at > now && this->order.size() < this->limit) {
+    while (!this->expiryQueue.empty()) {
+        const auto &oldest = this->expiryQueue.front();
+        if (oldest.at > now && this->expiryQueue.size() < this->limit) {
             return;
         }
         const auto found = this->entries.find(oldest.name);
@@ -64,7 +64,7 @@
         if (isLastUpdate) {
             this->entries.erase(found);
         }
-        this->order.pop_front();
+        this->expiryQueue.pop_front();
     }
 }
 
--- a/lib/Sessions/keyattempt.cpp
+++ b/lib/Sessions/keyattempt.cpp
@@ -10,7 +10,7 @@
 KeyAttempt::KeyAttempt(std::size_t holders)
     : majority(holders / 2 + 1)
     , outstanding(holders)
-    , heard(holders, false)
+    , hasReplied(holders, false)
 {
     if (holders == 0) {
         this->decided = KeyRefusal::HoldersUnreachable;
@@ -19,12 +19,12 @@
 
 auto KeyAttempt::handle(std::size_t holder, std::optional<KeyReply> reply) -> void
 {
-    assert(holder < this->heard.size() && "a holder that was asked");
-    // A reply that came twice would count as two holders, and one holder alone would make a majority.
-    if (this->heard[holder]) {
+    assert(holder < this->hasReplied.size() && "holder index out of range");
+    // A duplicated reply would count as two holders, so that a single holder could form a majority.
+    if (this->hasReplied[holder]) {
         return;
     }
-    this->heard[holder] = true;
+    this->hasReplied[holder] = true;
     --this->outstanding;
     if (reply) {
         this->replies.push_back(std::move(*reply));
@@ -67,9 +67,9 @@
 
 auto KeyAttempt::maySend() const -> bool
 {
-    const auto vouchers = this->count(KeyState::Started);
-    const auto recorded = vouchers + this->count(KeyState::StartedUnsure);
-    return recorded >= this->majority && vouchers >= this->neededVouchers();
+    const auto authoritativeReplies = this->count(KeyState::Started);
+    const auto recorded = authoritativeReplies + this->count(KeyState::StartedUnsure);
+    return recorded >= this->majority && authoritativeReplies >= this->requiredAuthoritativeReplies();
 }
 
 auto KeyAttempt::count(KeyState state) const -> std::size_t
@@ -79,11 +79,12 @@
     }));
 }
 
-auto KeyAttempt::neededVouchers() const -> std::size_t
+auto KeyAttempt::requiredAuthoritativeReplies() const -> std::size_t
 {
-    // An earlier attempt may have been recorded when there were more proxies than now, by a majority of the holders of that time.
-    // Fewer vouchers than it takes to meet each such majority could all be holders whom its start never reached. Up to two proxies
-    // each start was recorded by all of them, so one voucher is enough; a system of two VMs serves keys although one was restarted.
+    // An earlier attempt may have been recorded when there were more proxies than now, by a majority of the holders at that time.
+    // The authoritative replies must intersect each such majority; fewer could all come from holders that its KeyStart never
+    // reached. With up to two proxies each start was recorded by all of them, so one authoritative reply is enough, and a system
+    // of two VMs serves keys although one of them was restarted.
     auto proxies = std::size_t{1};
     for (const auto &reply : this->replies) {
         proxies = std::max(proxies, std::size_t{reply.proxiesSeen});
--- a/lib/Sessions/keyrecord.cpp
+++ b/lib/Sessions/keyrecord.cpp
@@ -10,9 +10,9 @@
     return KeyName(service.value() + "/" + key.value());
 }
 
-KeyHolder::KeyHolder(std::size_t limit, Duration life)
+KeyHolder::KeyHolder(std::size_t limit, Duration retention)
     : limit(limit)
-    , life(life)
+    , retention(retention)
 {
 }
 
@@ -21,25 +21,25 @@
     this->expire(now);
     auto reply = KeyReply();
     reply.proxiesSeen = static_cast<std::uint32_t>(history.proxiesSeen(now));
-    // A restarted holder has forgotten its records. Taken for "never seen", its empty memory would let a request that ran run again.
-    // Until every record that it may have lost would have expired, it records the start but does not vouch.
-    const auto vouches = history.vouches(start.key.value(), keyCopies, now);
+    // A restarted holder has lost its records. If it reported a missing record as "never seen", a request that already ran could
+    // run again. Until every record that it may have lost would have expired, it records the start but is not authoritative.
+    const auto isAuthoritative = history.isAuthoritative(start.key.value(), keyCopies, now);
     const auto found = this->records.find(start.key);
     if (found != this->records.end()) {
         const auto &record = found->second;
         const auto isSameAttempt = record.attempt == start.attempt && !record.finished;
-        reply.state = isSameAttempt ? (vouches ? KeyState::Started : KeyState::StartedUnsure) : known(record, start, now);
+        reply.state = isSameAttempt ? (isAuthoritative ? KeyState::Started : KeyState::StartedUnsure) : stateOf(record, start, now);
         reply.outcome = reply.state == KeyState::Finished ? record.outcome : std::string();
         return reply;
     }
-    // A record is never dropped to make room: its request could then run twice.
+    // An unexpired record is never evicted, since its request could then run twice.
     if (this->records.size() >= this->limit) {
         reply.state = KeyState::Full;
         return reply;
     }
-    this->records.emplace(start.key, Record{start.fingerprint, start.attempt, now + start.allowed, now + this->life, false, {}});
-    this->order.push_back({now + this->life, start.key});
-    reply.state = vouches ? KeyState::Started : KeyState::StartedUnsure;
+    this->records.emplace(start.key, Record{start.fingerprint, start.attempt, now + start.allowed, now + this->retention, false, {}});
+    this->expiryQueue.push_back({now + this->retention, start.key});
+    reply.state = isAuthoritative ? KeyState::Started : KeyState::StartedUnsure;
     return reply;
 }
 
@@ -68,7 +68,7 @@
     return this->records.size();
 }
 
-auto KeyHolder::known(const Record &record, const KeyStart &start, TimePoint now) -> KeyState
+auto KeyHolder::stateOf(const Record &record, const KeyStart &start, TimePoint now) -> KeyState
 {
     if (record.fingerprint != start.fingerprint) {
         return KeyState::Reused;
@@ -81,12 +81,12 @@
 
 auto KeyHolder::expire(TimePoint now) -> void
 {
-    while (!this->order.empty() && this->order.front().at <= now) {
-        const auto found = this->records.find(this->order.front().key);
+    while (!this->expiryQueue.empty() && this->expiryQueue.front().at <= now) {
+        const auto found = this->records.find(this->expiryQueue.front().key);
         if (found != this->records.end() && found->second.expiry <= now) {
             this->records.erase(found);
         }
-        this->order.pop_front();
+        this->expiryQueue.pop_front();
     }
 }
 
--- a/lib/Sessions/rendezvous.cpp
+++ b/lib/Sessions/rendezvous.cpp
@@ -56,15 +56,15 @@
 {
     const auto ranked = rank(name, among);
     auto chosen = std::vector<Holder>();
-    auto passedOver = std::vector<const Holder *>();
+    auto skipped = std::vector<const Holder *>();
     for (auto candidate = ranked.begin(); candidate != ranked.end() && chosen.size() < copies; ++candidate) {
         if (!hasZone(chosen, candidate->holder->zone)) {
             chosen.push_back(*candidate->holder);
-        } else if (passedOver.size() < copies) {
-            passedOver.push_back(candidate->holder);
+        } else if (skipped.size() < copies) {
+            skipped.push_back(candidate->holder);
         }
     }
-    for (auto holder = passedOver.begin(); holder != passedOver.end() && chosen.size() < copies; ++holder) {
+    for (auto holder = skipped.begin(); holder != skipped.end() && chosen.size() < copies; ++holder) {
         chosen.push_back(**holder);
     }
     return chosen;
--- a/lib/Sessions/token.cpp
+++ b/lib/Sessions/token.cpp
@@ -20,7 +20,7 @@
 /// Hexadecimal digits of a session id after its prefix.
 constexpr auto idDigits = std::size_t{16};
 constexpr auto checksumBytes = std::size_t{8};
-/// Seven bits of a number in each byte; the eighth says that more follow.
+/// Numbers are encoded as varints: seven bits in each byte, and the eighth is set if more bytes follow.
 constexpr auto continuationBit = std::uint8_t{0x80};
 
 auto appendNumber(std::string &bytes, std::uint64_t number) -> void
@@ -39,7 +39,7 @@
     }
 }
 
-/// Takes numbers and texts from the front of bytes; remembers whether they ran out.
+/// Reads varints and length-prefixed texts from a byte sequence. Truncated or malformed input sets a sticky failure flag.
 class Reader
 {
 public:
@@ -117,7 +117,7 @@
     return bytes;
 }
 
-/// The session id goes into the checksum, so that one session's positions cannot be pasted to another's id.
+/// The checksum is seeded with the session id, so that positions of one session are rejected under the id of another.
 auto checksumOf(const SessionId &id, std::string_view payload) -> std::string
 {
     const auto seed = XXH64(id.value().data(), id.value().size(), 0);
@@ -216,7 +216,7 @@
         this->seen.erase(this->seen.begin());
         this->complete = false;
     }
-    assert(this->seen.size() <= groupLimit && "a token's size is bounded");
+    assert(this->seen.size() <= groupLimit && "token exceeds its group limit");
 }
 
 auto describe(TokenError error) -> std::string_view
--- a/unittests/Sessions/coveragetest.cpp
+++ b/unittests/Sessions/coveragetest.cpp
@@ -24,11 +24,11 @@
 
 } // namespace
 
-TEST_CASE("a position that a promotion dropped is no debt")
+TEST_CASE("reads do not wait for a position that a promotion discarded")
 {
-    // A caller's write reached the old primary at position 14 and was never acknowledged; the caller's token names it all the
-    // same, since an earlier read saw it. The new primary kept the log up to 10. No member will ever hold that entry 14, so a read
-    // that waits for it would end at its deadline; what is due is what was kept.
+    // A write reached the old primary at position 14 and was never acknowledged, but the caller's token contains the position
+    // because an earlier read saw it. The new primary kept the log up to 10. No member will ever hold that entry 14, so a read
+    // that waited for it would exceed its deadline; it must wait only for the entries that were kept.
     const auto group = promotedTwice();
     CHECK(standingDebt(group, at(1, 14)) == at(3, 10));
     CHECK(standingDebt(group, at(1, 8)) == at(3, 8));
@@ -36,22 +36,22 @@
     CHECK(standingDebt(group, at(3, 30)) == at(3, 30));
 }
 
-TEST_CASE("a position of a term that the view does not know yet cannot be judged")
+TEST_CASE("a position of a term later than the view's has no required position")
 {
     CHECK(standingDebt(promotedTwice(), at(4, 1)) == std::nullopt);
 }
 
-TEST_CASE("a replica of an ended term does not cover by entries that were dropped")
+TEST_CASE("discarded entries of a replica in an ended term do not cover a position")
 {
-    // The caller's booking is entry 26 of term 3. A replica that was cut off still shows term 2 up to entry 40. Compared by number
-    // alone it covers entry 26, and the caller misses the booking; of term 2 only 25 entries still stand.
+    // The caller's write is entry 26 of term 3. A partitioned replica still serves term 2 up to entry 40. Compared by position alone
+    // it would cover entry 26, and the caller would not read its own write; only 25 entries of term 2 are still valid.
     const auto group = promotedTwice();
     CHECK_FALSE(covers(group, at(3, 26), at(2, 40)));
     CHECK(covers(group, at(3, 25), at(2, 40)));
     CHECK_FALSE(covers(group, at(3, 11), at(1, 40)));
 }
 
-TEST_CASE("an answer of the present or a later term covers by its position")
+TEST_CASE("an answer of the current or a later term is compared by position")
 {
     const auto group = promotedTwice();
     CHECK(covers(group, at(3, 26), at(3, 26)));
--- a/unittests/Sessions/hometest.cpp
+++ b/unittests/Sessions/hometest.cpp
@@ -43,7 +43,7 @@
 
 } // namespace
 
-TEST_CASE("copies lie in different zones, and all zones get their part")
+TEST_CASE("copies are in different zones, and every proxy is first holder of some names")
 {
     const auto proxies = sixProxies();
     auto firsts = std::set<VmId>();
@@ -55,7 +55,7 @@
     CHECK(firsts.size() == proxies.size());
 }
 
-TEST_CASE("a holder stays one when others leave")
+TEST_CASE("a holder remains a holder when other proxies leave")
 {
     testing::checkProperty([](const std::string &name, std::uint8_t kept, std::uint8_t zones) {
         auto all = sixProxies();
@@ -76,10 +76,10 @@
     });
 }
 
-TEST_CASE("a proxy that became a holder because another one left vouches for nothing of that time")
+TEST_CASE("a proxy that became a holder because another one left is not authoritative until older records expire")
 {
-    // A request's start was recorded with proxies that then left. The one that takes a place among the holders was never told. If it
-    // said "never seen", the caller's resend would run a second time; it must wait until the record would have expired.
+    // A request's start was recorded by a holder that then left. The proxy that replaces it never received the record. If it
+    // replied "never seen", the caller's resend would run a second time; it must wait until the record would have expired.
     const auto proxies = sixProxies();
     const auto name = std::string("booking-7");
     const auto before = chooseHolders(name, proxies, 3);
@@ -92,26 +92,26 @@
     auto history = HolderHistory(newcomer.vm, seconds(600), seconds(0), start);
     history.viewChanged(proxies, start);
     history.viewChanged(left, start + seconds(5));
-    CHECK_FALSE(history.vouches(name, 3, start + seconds(6)));
-    CHECK(history.vouches(name, 3, start + seconds(606)));
+    CHECK_FALSE(history.isAuthoritative(name, 3, start + seconds(6)));
+    CHECK(history.isAuthoritative(name, 3, start + seconds(606)));
     auto stayed = HolderHistory(before.back().vm, seconds(600), seconds(0), start);
     stayed.viewChanged(proxies, start);
     stayed.viewChanged(left, start + seconds(5));
-    CHECK(stayed.vouches(name, 3, start + seconds(6)));
+    CHECK(stayed.isAuthoritative(name, 3, start + seconds(6)));
 }
 
-TEST_CASE("a restarted proxy, and one that may have been out of the view, vouch for nothing yet")
+TEST_CASE("a proxy that restarted or may have been out of the view is not authoritative until the retention time has passed")
 {
     const auto proxies = std::vector<Holder>{holder("a1", "a")};
     auto history = HolderHistory(VmId("a1"), seconds(600), seconds(600), start);
     history.viewChanged(proxies, start);
-    CHECK_FALSE(history.vouches("k", 3, start + seconds(599)));
-    CHECK(history.vouches("k", 3, start + seconds(600)));
+    CHECK_FALSE(history.isAuthoritative("k", 3, start + seconds(599)));
+    CHECK(history.isAuthoritative("k", 3, start + seconds(600)));
     history.missedViews(start + seconds(700));
-    CHECK_FALSE(history.vouches("k", 3, start + seconds(701)));
+    CHECK_FALSE(history.isAuthoritative("k", 3, start + seconds(701)));
 }
 
-TEST_CASE("a home keeps the latest position of a session and forgets the oldest sessions first")
+TEST_CASE("a home keeps the latest position of a session and evicts the oldest entries first")
 {
     auto home = SessionHome(3, seconds(600));
     const auto group = GroupId("orders-1");
--- a/unittests/Sessions/keypropertytest.cpp
+++ b/unittests/Sessions/keypropertytest.cpp
@@ -15,11 +15,11 @@
 
 using std::chrono::milliseconds;
 
-constexpr auto life = milliseconds(4'000);
+constexpr auto retention = milliseconds(4'000);
 constexpr auto allowed = milliseconds(500);
 const auto key = KeyName("orders/k1");
 
-/// A proxy process with its part of the records.
+/// A proxy process with its holder state.
 struct Process
 {
     Holder self;
@@ -51,16 +51,16 @@
     KeyReply reply;
 };
 
-/// All proxies, all attempts with one key and all messages under way; bytes of a script choose what happens next.
-class World
+/// Simulates all proxies, all attempts with one key and all messages in transit; the bytes of a script choose each event.
+class Simulation
 {
 public:
-    World()
+    Simulation()
     {
         const auto zones = std::array{"a", "b", "c", "a", "b"};
         for (auto index = std::size_t{0}; index < zones.size(); ++index) {
             const auto self = Holder{VmId("vm" + std::to_string(index)), ZoneId(zones[index]), Incarnation(1)};
-            this->processes.push_back({self, HolderHistory(self.vm, life, milliseconds(0), this->now), KeyHolder(10, life)});
+            this->processes.push_back({self, HolderHistory(self.vm, retention, milliseconds(0), this->now), KeyHolder(10, retention)});
         }
         this->publishView();
     }
@@ -73,10 +73,10 @@
             this->beginAttempt();
             break;
         case 1:
-            this->take(pick, false);
+            this->loseOrDuplicate(pick, false);
             break;
         case 2:
-            this->take(pick, true);
+            this->loseOrDuplicate(pick, true);
             break;
         case 3:
             this->restart(this->processes[pick % this->processes.size()]);
@@ -109,8 +109,8 @@
         this->attempts.push_back({std::move(holders), KeyAttempt(count), this->now});
     }
 
-    /// Loses or doubles a message.
-    auto take(std::uint8_t pick, bool twice) -> void
+    /// Loses or duplicates a message.
+    auto loseOrDuplicate(std::uint8_t pick, bool twice) -> void
     {
         if (this->messages.empty()) {
             return;
@@ -133,19 +133,19 @@
         this->messages.erase(chosen);
         auto &coordinator = this->attempts[message.attempt];
         if (message.kind == MessageKind::Reply) {
-            this->hear(coordinator, message);
+            this->handleReply(coordinator, message);
             return;
         }
         const auto &holder = coordinator.holders[message.holder];
         for (auto &process : this->processes) {
             if (process.self == holder) {
-                this->atHolder(process, std::move(message));
+                this->handleAtHolder(process, std::move(message));
                 return;
             }
         }
     }
 
-    auto atHolder(Process &process, Message message) -> void
+    auto handleAtHolder(Process &process, Message message) -> void
     {
         const auto attempt = AttemptId(std::to_string(message.attempt));
         if (message.kind == MessageKind::Start) {
@@ -159,16 +159,16 @@
         }
     }
 
-    auto hear(Coordinator &coordinator, const Message &message) -> void
+    auto handleReply(Coordinator &coordinator, const Message &message) -> void
     {
         if (coordinator.ended || coordinator.attempt.decision()) {
             return;
         }
         coordinator.attempt.handle(message.holder, message.reply);
-        this->act(message.attempt);
+        this->applyDecision(message.attempt);
     }
 
-    auto act(std::size_t number) -> void
+    auto applyDecision(std::size_t number) -> void
     {
         const auto &decision = this->attempts[number].attempt.decision();
         if (!decision) {
@@ -178,10 +178,10 @@
             this->sends.push_back(this->attempts[number].created);
             return;
         }
-        this->tellHolders(number, MessageKind::Abandon);
+        this->sendToHolders(number, MessageKind::Abandon);
     }
 
-    /// The coordinator gives up its wait, or its send ends, or it dies.
+    /// The coordinator times out, its send ends, or it crashes.
     auto endAttempt(std::uint8_t pick) -> void
     {
         if (this->attempts.empty()) {
@@ -195,13 +195,13 @@
         const auto sent = coordinator.attempt.decision() && std::holds_alternative<MaySend>(*coordinator.attempt.decision());
         coordinator.ended = true;
         if (sent && pick % 2 == 0) {
-            this->tellHolders(number, MessageKind::Finish);
+            this->sendToHolders(number, MessageKind::Finish);
         } else if (!sent && pick % 3 != 0) {
-            this->tellHolders(number, MessageKind::Abandon);
+            this->sendToHolders(number, MessageKind::Abandon);
         }
     }
 
-    auto tellHolders(std::size_t number, MessageKind kind) -> void
+    auto sendToHolders(std::size_t number, MessageKind kind) -> void
     {
         for (auto holder = std::size_t{0}; holder < this->attempts[number].holders.size(); ++holder) {
             this->messages.push_back({kind, number, holder, {}});
@@ -211,8 +211,8 @@
     auto restart(Process &process) -> void
     {
         process.self.incarnation = process.self.incarnation.next();
-        process.history = HolderHistory(process.self.vm, life, life, this->now);
-        process.records = KeyHolder(10, life);
+        process.history = HolderHistory(process.self.vm, retention, retention, this->now);
+        process.records = KeyHolder(10, retention);
         this->publishView();
     }
 
@@ -254,21 +254,21 @@
 
 } // namespace
 
-TEST_CASE("of all attempts with one key at most one is sent within the life of a record")
+TEST_CASE("of all attempts with one key at most one is sent within the retention time of a record")
 {
-    // A caller resends a booking through any proxy, again and again. Messages between the proxies are lost, doubled and late, the
-    // holders of the key's record restart with empty memories, proxies leave and come back, coordinators die before, during and
-    // after the send. Two sends within the life of a record would be a doubled booking.
+    // A caller repeatedly resends a request through any proxy. Messages between proxies are lost, duplicated and delayed, holders of
+    // the key's record restart and lose their state, proxies leave the view and rejoin, and coordinators crash before, during and
+    // after the send. Two sends within the retention time of a record would execute the request twice.
     auto sent = std::size_t{0};
     testing::checkProperty([&sent](const std::vector<std::pair<std::uint8_t, std::uint8_t>> &script) {
-        auto world = World();
+        auto simulation = Simulation();
         for (const auto &[choice, pick] : script) {
-            world.step(choice, pick);
+            simulation.step(choice, pick);
         }
-        for (auto index = std::size_t{1}; index < world.sends.size(); ++index) {
-            RC_ASSERT(world.sends[index] - world.sends[0] >= life);
+        for (auto index = std::size_t{1}; index < simulation.sends.size(); ++index) {
+            RC_ASSERT(simulation.sends[index] - simulation.sends[0] >= retention);
         }
-        sent += world.sends.size();
+        sent += simulation.sends.size();
     });
     CHECK(sent > 50);
 }
--- a/unittests/Sessions/keyrecordtest.cpp
+++ b/unittests/Sessions/keyrecordtest.cpp
@@ -12,11 +12,11 @@
 using std::chrono::seconds;
 
 constexpr auto start = TimePoint{};
-constexpr auto life = seconds(600);
+constexpr auto retention = seconds(600);
 
 auto oneProxy(Duration warmup) -> HolderHistory
 {
-    auto history = HolderHistory(VmId("a1"), life, warmup, start);
+    auto history = HolderHistory(VmId("a1"), retention, warmup, start);
     history.viewChanged(std::vector<Holder>{{VmId("a1"), ZoneId("a"), Incarnation(1)}}, start);
     return history;
 }
@@ -38,10 +38,10 @@
 
 } // namespace
 
-TEST_CASE("a resend learns how the first attempt stands")
+TEST_CASE("a resend gets the state of the first attempt")
 {
     const auto history = oneProxy(seconds(0));
-    auto holder = KeyHolder(10, life);
+    auto holder = KeyHolder(10, retention);
     CHECK(holder.start(startOf("x"), history, start).state == KeyState::Started);
     CHECK(holder.start(startOf("y"), history, start + seconds(1)).state == KeyState::InProgress);
     CHECK(holder.start(startOf("y", 2), history, start + seconds(1)).state == KeyState::Reused);
@@ -50,13 +50,13 @@
     const auto reply = holder.start(startOf("y"), history, start + seconds(5));
     CHECK(reply.state == KeyState::Finished);
     CHECK(reply.outcome == "booked");
-    CHECK(holder.start(startOf("z"), history, start + life).state == KeyState::Started);
+    CHECK(holder.start(startOf("z"), history, start + retention).state == KeyState::Started);
 }
 
-TEST_CASE("an attempt that sent nothing leaves the key free, but not for another attempt's record")
+TEST_CASE("an abandoned attempt releases its key, but not the record of another attempt")
 {
     const auto history = oneProxy(seconds(0));
-    auto holder = KeyHolder(10, life);
+    auto holder = KeyHolder(10, retention);
     holder.start(startOf("x"), history, start);
     holder.abandon({KeyName("orders/k1"), AttemptId("y")});
     CHECK(holder.start(startOf("y"), history, start).state == KeyState::InProgress);
@@ -64,18 +64,18 @@
     CHECK(holder.start(startOf("y"), history, start).state == KeyState::Started);
 }
 
-TEST_CASE("a restarted holder does not say that a key was never seen")
+TEST_CASE("a restarted holder does not report a key as never seen")
 {
-    // A booking with a key ran, and the proxy that held the key's record was restarted. The caller, who lost the answer, sends
-    // it again. The empty memory of the restarted holder proves nothing; saying "never seen" would book a second courier.
-    auto holder = KeyHolder(10, life);
-    CHECK(holder.start(startOf("y"), oneProxy(life), start + seconds(1)).state == KeyState::StartedUnsure);
+    // A request with a key ran, and the proxy that held the key's record was restarted. The caller lost the answer and resends the
+    // request. The restarted holder has lost its records; if it replied "never seen", the request would run twice.
+    auto holder = KeyHolder(10, retention);
+    CHECK(holder.start(startOf("y"), oneProxy(retention), start + seconds(1)).state == KeyState::StartedUnsure);
 }
 
-TEST_CASE("a full holder drops no live record")
+TEST_CASE("a full holder does not evict an unexpired record")
 {
     const auto history = oneProxy(seconds(0));
-    auto holder = KeyHolder(1, life);
+    auto holder = KeyHolder(1, retention);
     holder.start(startOf("x"), history, start);
     auto other = startOf("y");
     other.key = KeyName("orders/k2");
@@ -83,7 +83,7 @@
     CHECK(holder.start(startOf("y"), history, start).state == KeyState::InProgress);
 }
 
-TEST_CASE("an attempt sends once a majority of the holders vouches")
+TEST_CASE("an attempt is sent once a majority of the holders is authoritative")
 {
     auto attempt = KeyAttempt(3);
     attempt.handle(0, replyOf(KeyState::Started));
@@ -94,22 +94,22 @@
     CHECK(std::holds_alternative<MaySend>(*attempt.decision()));
 }
 
-TEST_CASE("two holders of three that cannot vouch, or do not answer, stop an attempt")
+TEST_CASE("an attempt is refused if two of three holders are not authoritative or do not reply")
 {
     auto unsure = KeyAttempt(3);
     unsure.handle(0, replyOf(KeyState::Started));
     unsure.handle(1, replyOf(KeyState::StartedUnsure));
     unsure.handle(2, replyOf(KeyState::StartedUnsure));
     CHECK(refusalOf(unsure) == KeyRefusal::HoldersUnreachable);
-    auto silent = KeyAttempt(3);
-    silent.handle(0, replyOf(KeyState::Started));
-    silent.handle(1, std::nullopt);
-    silent.handle(2, std::nullopt);
-    CHECK(refusalOf(silent) == KeyRefusal::HoldersUnreachable);
+    auto unresponsive = KeyAttempt(3);
+    unresponsive.handle(0, replyOf(KeyState::Started));
+    unresponsive.handle(1, std::nullopt);
+    unresponsive.handle(2, std::nullopt);
+    CHECK(refusalOf(unresponsive) == KeyRefusal::HoldersUnreachable);
     CHECK(refusalOf(KeyAttempt(0)) == KeyRefusal::HoldersUnreachable);
 }
 
-TEST_CASE("what another attempt left decides a resend")
+TEST_CASE("the recorded state of another attempt decides a resend")
 {
     auto finished = KeyAttempt(3);
     finished.handle(1, replyOf(KeyState::Finished));
@@ -125,7 +125,7 @@
     CHECK(refusalOf(lost) == KeyRefusal::OutcomeUnknown);
 }
 
-TEST_CASE("where there were never more than two proxies, the one that stayed vouches for both")
+TEST_CASE("with never more than two proxies, one authoritative reply is enough")
 {
     auto attempt = KeyAttempt(2);
     attempt.handle(0, replyOf(KeyState::Started, 2));
@@ -138,10 +138,10 @@
     CHECK(refusalOf(shrunk) == KeyRefusal::HoldersUnreachable);
 }
 
-TEST_CASE("a single holder that is left of three does not vouch alone")
+TEST_CASE("the last holder of three is not sufficient alone")
 {
-    // A start was recorded by two of three holders, and both left the system. The third was never told; if it alone allowed a
-    // send, because it is now the only holder, the resend would run a second time.
+    // A start was recorded by two of three holders, and both left the system. The third never received it; if its reply alone
+    // allowed a send, because it is now the only holder, the resend would run a second time.
     auto alone = KeyAttempt(1);
     alone.handle(0, replyOf(KeyState::Started, 3));
     CHECK(refusalOf(alone) == KeyRefusal::HoldersUnreachable);
--- a/unittests/Sessions/properties.h
+++ b/unittests/Sessions/properties.h
@@ -1,4 +1,4 @@
-// properties.h: runs a property over generated input, the same input in each run.
+// properties.h: checks a property over generated input that is the same in each run.
 #pragma once
 
 #include <catch2/catch.hpp>
@@ -14,7 +14,7 @@
 template <typename Property>
 auto checkProperty(Property property) -> void
 {
-    // rapidcheck reads its parameters once, before the first check.
+    // rapidcheck reads RC_PARAMS only once, before the first check.
     ::setenv("RC_PARAMS", "seed=20 max_success=1500 max_size=400", 1);
     const auto passed = rc::check(std::move(property));
     CHECK(passed);
--- a/unittests/Sessions/tokentest.cpp
+++ b/unittests/Sessions/tokentest.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("a token is read back as it was written, and its text fits a cookie")
+TEST_CASE("a token round-trips through its text, which is valid in a cookie")
 {
     testing::checkProperty([](std::uint64_t id, const std::vector<std::pair<std::string, std::pair<std::uint64_t, std::uint64_t>>> &entries) {
         auto token = SessionToken(makeSessionId(id));
@@ -43,7 +43,7 @@
     });
 }
 
-TEST_CASE("of two positions in a group the later stays, and a later term is later at any position")
+TEST_CASE("merge keeps the later position in a group, comparing by term first")
 {
     auto token = sampleToken();
     token.merge(seenIn("orders-1", 3, 100));
@@ -52,10 +52,10 @@
     CHECK(*token.find(GroupId("orders-1")) == seenIn("orders-1", 4, 5));
 }
 
-TEST_CASE("a token that has seen more groups than fit says that it is incomplete")
+TEST_CASE("a token with more groups than its limit is marked as incomplete")
 {
-    // A caller that works with very many groups would miss its own write in a group whose position the token had to drop, if
-    // the missing entry were read as "never written there". The mark sends such reads to the primary.
+    // A caller that uses more groups than the limit would not read its own write in a group whose position was dropped, if the
+    // missing entry were taken as "never written". Because of the mark such reads go to the primary.
     auto token = sampleToken();
     for (auto group = std::size_t{0}; group < SessionToken::groupLimit; ++group) {
         token.merge(seenIn("group-" + std::to_string(group), 1, group));
@@ -66,7 +66,7 @@
     CHECK_FALSE(again.isComplete());
 }
 
-TEST_CASE("a session id alone is a token that knows nothing")
+TEST_CASE("a session id alone decodes to an incomplete token without positions")
 {
     const auto token = std::get<SessionToken>(decode(makeSessionId(7).value()));
     CHECK(token.id() == makeSessionId(7));
@@ -74,7 +74,7 @@
     CHECK_FALSE(token.isComplete());
 }
 
-TEST_CASE("altered and foreign texts are no tokens")
+TEST_CASE("altered and malformed texts are rejected")
 {
     const auto text = encode(sampleToken());
     auto altered = text;
