--- a/include/sapphirespool/Sessions/coverage.h
+++ b/include/sapphirespool/Sessions/coverage.h
@@ -23,9 +23,9 @@
 /// Entries of an ended term above the start of the next term were discarded by the promotion. No member can serve them again, so
 /// a read that waited for them would never finish. No acknowledged write is lost, since a promotion keeps all of them.
 /// \return nothing if the term of \p seen is later than the term of \p group, because the view is then outdated
-[[nodiscard]] auto standingDebt(const membership::GroupView &group, const TermPosition &seen) -> std::optional<TermPosition>;
+[[nodiscard]] auto requiredPosition(const membership::GroupView &group, const TermPosition &seen) -> std::optional<TermPosition>;
 
-/// \param needed   position returned by standingDebt()
+/// \param needed   position returned by requiredPosition()
 /// \param answered term and position of the upstream that answered
 /// \return whether the answer reflects every entry up to \p needed
 [[nodiscard]] auto covers(const membership::GroupView &group, const TermPosition &needed, const TermPosition &answered) -> bool;
--- a/include/sapphirespool/Sessions/home.h
+++ b/include/sapphirespool/Sessions/home.h
@@ -34,7 +34,7 @@
     /// \return what \p session has seen of \p group, or nothing if this home has no unexpired entry
     [[nodiscard]] auto find(const SessionId &session, const GroupId &group, TimePoint now) const -> std::optional<TermPosition>;
 
-    auto forgetAll() -> void;
+    auto clear() -> void;
 
     [[nodiscard]] auto size() const -> std::size_t;
 
--- a/lib/Proxy/localrecords.cpp
+++ b/lib/Proxy/localrecords.cpp
@@ -18,7 +18,7 @@
 auto LocalRecords::missedViews(TimePoint now) -> void
 {
     this->history.missedViews(now);
-    this->home.forgetAll();
+    this->home.clear();
 }
 
 auto LocalRecords::startKey(const sessions::KeyStart &start, TimePoint now) -> sessions::KeyReply
--- a/lib/Proxy/statementrunner.cpp
+++ b/lib/Proxy/statementrunner.cpp
@@ -27,7 +27,7 @@
     if (group == nullptr || !job.seen) {
         return work;
     }
-    const auto debt = sessions::standingDebt(*group, *job.seen);
+    const auto debt = sessions::requiredPosition(*group, *job.seen);
     if (!debt) {
         return std::nullopt;
     }
@@ -223,7 +223,7 @@
     // shows whether the caller finds the write it has just made.
     const auto view = this->access->view();
     const auto *const group = view->findGroup(job.group);
-    const auto debt = group == nullptr ? std::nullopt : sessions::standingDebt(*group, *job.seen);
+    const auto debt = group == nullptr ? std::nullopt : sessions::requiredPosition(*group, *job.seen);
     return debt && sessions::covers(*group, *debt, {Term(reply.term), LogPosition(reply.position)});
 }
 
--- a/lib/Sessions/coverage.cpp
+++ b/lib/Sessions/coverage.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-auto standingDebt(const membership::GroupView &group, const TermPosition &seen) -> std::optional<TermPosition>
+auto requiredPosition(const membership::GroupView &group, const TermPosition &seen) -> std::optional<TermPosition>
 {
     if (seen.term > group.term) {
         return std::nullopt;
--- a/lib/Sessions/home.cpp
+++ b/lib/Sessions/home.cpp
@@ -41,7 +41,7 @@
     return found->second.seen;
 }
 
-auto SessionHome::forgetAll() -> void
+auto SessionHome::clear() -> void
 {
     this->entries.clear();
     this->expiryQueue.clear();
--- a/unittests/Sessions/coveragetest.cpp
+++ b/unittests/Sessions/coveragetest.cpp
@@ -30,15 +30,15 @@
     // because an earlier read saw it. The new primary kept the log up to 10. No member will ever hold that entry 14, so a read
     // that waited for it would exceed its deadline; it must wait only for the entries that were kept.
     const auto group = promotedTwice();
-    CHECK(standingDebt(group, at(1, 14)) == at(3, 10));
-    CHECK(standingDebt(group, at(1, 8)) == at(3, 8));
-    CHECK(standingDebt(group, at(2, 30)) == at(3, 25));
-    CHECK(standingDebt(group, at(3, 30)) == at(3, 30));
+    CHECK(requiredPosition(group, at(1, 14)) == at(3, 10));
+    CHECK(requiredPosition(group, at(1, 8)) == at(3, 8));
+    CHECK(requiredPosition(group, at(2, 30)) == at(3, 25));
+    CHECK(requiredPosition(group, at(3, 30)) == at(3, 30));
 }
 
 TEST_CASE("a position of a term later than the view's has no required position")
 {
-    CHECK(standingDebt(promotedTwice(), at(4, 1)) == std::nullopt);
+    CHECK(requiredPosition(promotedTwice(), at(4, 1)) == std::nullopt);
 }
 
 TEST_CASE("discarded entries of a replica in an ended term do not cover a position")
