--- a/include/sapphirespool/Interactive/session.h
+++ b/include/sapphirespool/Interactive/session.h
@@ -67,7 +67,7 @@
     virtual auto retried(const ServiceId &service, Failure because) -> void = 0;
 };
 
-/// Sessions of one proxy. All calls must be made on its executor.
+/// Opens the sessions of one proxy's callers. All calls must be made on the executor of its dependencies.
 class SessionService
 {
 public:
@@ -76,10 +76,10 @@
     auto operator=(const SessionService &) -> SessionService & = delete;
     virtual ~SessionService() = default;
 
-    /// \param database name under which the caller knows a service
+    /// \param database name by which the caller addresses a service
     [[nodiscard]] virtual auto open(std::string_view database) -> OpenResult = 0;
 
-    /// Waits a bounded time until a proxy that has just started has received its first view.
+    /// Waits for a bounded time until this proxy has received its first view. Returns at once if it has one.
     virtual auto awaitFirstView() -> boost::asio::awaitable<void> = 0;
 
     /// Applies the newest view.
@@ -94,12 +94,11 @@
     [[nodiscard]] virtual auto counts() const -> SessionCounts = 0;
 };
 
-/// Dependencies of a session service.
 struct SessionServiceDependencies
 {
     ZoneId zone;
     std::shared_ptr<membership::ViewHolder> views;
-    /// Receives suspicions of unreachable primaries; may be null.
+    /// Receives suspicions of unreachable primaries. If it is null, none are reported.
     std::shared_ptr<membership::ControlLink> control;
     std::shared_ptr<ConnectionPool> pool;
     std::shared_ptr<SessionRecorder> recorder;
--- a/include/sapphirespool/Interactive/statement.h
+++ b/include/sapphirespool/Interactive/statement.h
@@ -7,7 +7,6 @@
 namespace sapphirespool::interactive
 {
 
-/// Kind of a statement.
 enum class StatementKind : std::uint8_t {
     Begin,
     /// Begins a read-only transaction.
@@ -18,7 +17,7 @@
     Write,
     /// Sets a value of the session.
     SetValue,
-    /// Prepares a statement shape under a name.
+    /// Stores a statement shape under a name.
     Prepare,
     /// Executes a prepared statement.
     Execute,
@@ -26,7 +25,7 @@
     Deallocate,
 };
 
-/// A statement shape that can be prepared under a name.
+/// A statement without its arguments, for prepared statements. Each Execute sends the arguments.
 struct PreparedShape
 {
     bool writes = false;
@@ -43,7 +42,8 @@
     StatementKind kind = StatementKind::Read;
     /// Name of the value or of the prepared statement.
     std::string name;
-    /// SetValue: the value. Execute: the text after the name. Read and Write: the whole text, sent to the upstream unchanged.
+    /// SetValue: the value. Execute: the text after the name, with the arguments. Read and Write: the whole text, sent to the upstream
+    /// unchanged.
     std::string text;
     /// Prepare: the shape.
     PreparedShape shape;
--- a/include/sapphirespool/Sessions/home.h
+++ b/include/sapphirespool/Sessions/home.h
@@ -16,7 +16,9 @@
 /// Copies of a session's positions, in different zones. Reads query both, so a copy that missed a write causes no stale read.
 inline constexpr auto homeCopies = std::size_t{2};
 
-/// Stores the positions of sessions per group, as one of the homes of each session.
+/// Stores on one proxy the latest position that each session has seen in each group. The proxies that store a session's positions, its homes,
+/// are chosen by chooseHolders() from the session id. Without them a caller that sends no token would have to read at the primary to
+/// see its own writes.
 ///
 /// Each position comes from an answer of a primary. The log of a group is totally ordered, so a position covers all writes that were
 /// acknowledged before it in that group, whoever made them; an entry is therefore never partial. A missing entry means that the
@@ -24,14 +26,15 @@
 class SessionHome
 {
 public:
-    /// \param limit     maximum number of entries; beyond it the oldest are evicted, and reads of their sessions go to the primary
+    /// \param limit     maximum number of recent updates kept, and so of entries. An entry whose last update is no longer among them is
+    ///                  evicted, and reads of its session go to the primary.
     /// \param retention time for which an entry is kept after its last update
     SessionHome(std::size_t limit, Duration retention);
 
     /// Records that \p session has seen \p seen in \p group. An earlier position does not replace a later one.
     auto update(const SessionId &session, const GroupId &group, const TermPosition &seen, TimePoint now) -> void;
 
-    /// \return what \p session has seen of \p group, or nothing if this home has no unexpired entry
+    /// \return the latest position that \p session has seen in \p group, or nothing if this home has no unexpired entry
     [[nodiscard]] auto find(const SessionId &session, const GroupId &group, TimePoint now) const -> std::optional<TermPosition>;
 
     auto clear() -> void;
@@ -51,6 +54,7 @@
         std::string name;
     };
 
+    /// Removes the expired updates and, at the limit, the oldest one, with the entries that have no later update.
     auto dropOldest(TimePoint now) -> void;
 
     std::size_t limit;
--- a/include/sapphirespool/Sessions/keyattempt.h
+++ b/include/sapphirespool/Sessions/keyattempt.h
@@ -34,8 +34,10 @@
 
 using KeyDecision = std::variant<MaySend, AlreadyFinished, KeyRefusal>;
 
-/// The coordinator's state of one attempt. Any two sets of replies that allow a send have a holder in common, which recorded only
-/// one of the attempts. Of all attempts with one key at most one is therefore sent within the retention time of a record.
+/// State of one attempt at its coordinator, the proxy that received the request.
+///
+/// Any two sets of replies that allow a send have a holder in common, which recorded only one of the attempts. Of all attempts with
+/// one key at most one is therefore sent within the retention time of a record.
 class KeyAttempt
 {
 public:
--- a/include/sapphirespool/Sessions/keyrecord.h
+++ b/include/sapphirespool/Sessions/keyrecord.h
@@ -33,7 +33,7 @@
     KeyName key;
     Fingerprint fingerprint;
     AttemptId attempt;
-    /// Time after which the attempt has ended, whatever its outcome.
+    /// Time allowed for the attempt. Once it has elapsed, the attempt has ended, whatever its outcome.
     std::chrono::milliseconds allowed{0};
 };
 
@@ -42,7 +42,7 @@
 {
     KeyName key;
     AttemptId attempt;
-    /// The answer, as the traffic path encodes it.
+    /// The encoded answer, which holders do not interpret; empty if it is too large to be kept.
     std::string outcome;
 };
 
--- a/include/sapphirespool/Sessions/token.h
+++ b/include/sapphirespool/Sessions/token.h
@@ -30,7 +30,8 @@
 class SessionToken
 {
 public:
-    /// Maximum number of groups in one token. At about 40 characters each the header stays near 1.3 kB, far below the 16 KiB of a request's headers.
+    /// Maximum number of groups in one token. At about 40 characters each the header stays near 1.3 kB, far below the limit of 16 KiB for a
+    /// request's headers.
     static constexpr auto groupLimit = std::size_t{32};
 
     explicit SessionToken(SessionId id);
--- a/lib/Interactive/callersession.h
+++ b/lib/Interactive/callersession.h
@@ -27,7 +27,9 @@
     Member member;
 };
 
-/// Runs the statements of one caller: picks the upstream for each, retries it where that is safe, and maps the outcome to a reply.
+/// Runs the statements of one caller: picks an upstream for each statement and maps the outcome to a reply. A statement that did not run, or
+/// that only reads, may be retried before its deadline, where possible at another member. A write that may have run is reported as in doubt,
+/// since it could run twice if it were sent again.
 class CallerSession : public Session, public std::enable_shared_from_this<CallerSession>
 {
 public:
@@ -47,7 +49,7 @@
         /// Shape of the prepared statement; empty for other statements.
         std::optional<PreparedShape> shape;
         Access access = Access::Read;
-        /// Deadline given by the timeout of the route.
+        /// Deadline given by the timeout of the service.
         std::chrono::steady_clock::time_point deadline;
 
         [[nodiscard]] auto remaining() const -> Duration;
@@ -108,13 +110,15 @@
         -> boost::asio::awaitable<TargetResult>;
     auto pickReader(const StatementContext &context, const std::set<UpstreamId> &excluded, const std::optional<Member> &stalePrimary)
         -> boost::asio::awaitable<TargetResult>;
+    /// \return the log position that a replica must have applied to serve a read; nothing if only the primary may serve it, because the
+    /// service requires current data or no position proof is recent enough
     [[nodiscard]] auto neededPosition(const membership::ServiceView &service) const -> std::optional<DataPosition>;
     auto acquire(const Target &target, const StatementContext &context) -> boost::asio::awaitable<LeaseResult>;
 
     auto makeContext(Statement statement, membership::ServiceView service) const -> StatementContext;
     auto recordWrite(const GroupId &group, const std::optional<DataPosition> &position) -> void;
     auto recordProof(const Member &member, TimePoint sent, const std::optional<DataPosition> &position) -> void;
-    /// Logs and counts that the statement did not run at the last member and is retried.
+    /// Logs and counts an attempt at which the statement did not run, whether or not another attempt follows.
     auto recordRetry(const FailureReply &why) -> void;
     /// Records that \p member lags behind the position that a read requires, as reported in \p why.
     auto recordLagging(const Member &member, const FailureReply &why) -> void;
--- a/lib/Interactive/sessioncore.cpp
+++ b/lib/Interactive/sessioncore.cpp
@@ -24,8 +24,8 @@
 /// This timeout plus the unresponsive period before the probe stays well below the second that a promotion itself takes.
 constexpr auto probeTimeout = std::chrono::milliseconds(400);
 
-/// Timeout of a position proof. It takes the primary one round trip, and some tens of milliseconds more if a connection must be opened
-/// first. A read that would wait longer is served sooner by the primary.
+/// Timeout of a position proof. A proof takes one round trip to the primary, and some tens of milliseconds more if a connection must be
+/// opened first. A read that would wait longer is served sooner by the primary.
 constexpr auto proofTimeout = std::chrono::milliseconds(100);
 
 /// A proof is replaced after the accepted age divided by this, so that the new one arrives before the old one expires.
@@ -37,10 +37,12 @@
 /// Control sends a started proxy its view within a few hundred milliseconds of its own start.
 constexpr auto firstViewWaitLimit = std::chrono::milliseconds(400);
 
-/// Control answers five times a second, and a broken connection to it is reopened within half of this time.
+/// Age of the last contact with control above which control counts as unreachable. Control answers five times a second, and a broken
+/// connection to it is reopened within half of this time.
 constexpr auto contactTimeout = std::chrono::milliseconds(1'000);
 
-/// Statements that find the same primary unreachable at the same time share one probe.
+/// Minimum time from a probe of a primary to the next one that requires no greeting. Statements that find the same primary unreachable at
+/// the same time share one probe.
 constexpr auto minProbeInterval = std::chrono::milliseconds(100);
 
 /// Control evaluates the suspicions of two seconds together; more than a few per proxy in that time add no information.
--- a/lib/Interactive/sessioncore.h
+++ b/lib/Interactive/sessioncore.h
@@ -37,7 +37,10 @@
 };
 
 /// State shared by all sessions of a proxy: the current view indexed for lookups, the position proofs of the groups, and the recent
-/// load and failures of the upstreams.
+/// load and failures of the upstreams. It also finds primaries, probes them and reports suspicions.
+///
+/// A proof or a failure that one session observes holds for all of them. If each of thousands of sessions kept its own, each would request
+/// proofs, probe unresponsive primaries and search for new ones by itself.
 class SessionCore : public std::enable_shared_from_this<SessionCore>
 {
 public:
@@ -91,13 +94,13 @@
 
     auto proofsOf(const GroupId &group) -> PositionProofs &;
 
-    /// Requests a position proof from the primary of \p group, for reads whose data may be up to \p readAge old. There is no new proof if
-    /// the primary does not give one.
+    /// Requests a position proof from the primary of \p group, for reads whose data may be up to \p readAge old. If the primary gives none,
+    /// the proofs stay as they are and no new one is requested until a backoff has passed.
     ///
-    /// Load pattern: many proxies in front of one group, each with a read or two of it per \p readAge; or all proxies have just started.
-    /// Without this request a proxy learns the log position only from reads at the primary, so that most reads that replicas could serve
-    /// go there: with 89 proxies in front of 8 groups 56 of 100 statements, and after a restart of all proxies nearly all, until the
-    /// primaries' queues were full.
+    /// Load pattern: there are many proxies in front of one group, and each sends it only one or two reads per \p readAge; or all proxies
+    /// have just started. Without this request a proxy learns the log position only from statements at the primary, so that most reads
+    /// that replicas could serve go there. With 89 proxies in front of 8 groups, 56 of 100 statements went to the primaries; after a
+    /// restart of all proxies nearly all did, until the primaries' queues were full.
     auto refreshProof(GroupId group, Duration readAge) -> boost::asio::awaitable<void>;
 
     /// Replaces in the background a proof that will soon be too old for \p readAge.
@@ -108,9 +111,10 @@
     bool refusesNewWork = false;
     bool abortsTransactions = false;
     SessionCounts counts;
-    /// Failures come in bursts, and the first lines of a burst show its cause; the rest are dropped.
+    /// Log lines per second for failed and retried statements. Failures come in bursts, and the first lines of a burst show its cause; the
+    /// rest are dropped.
     support::LogBudget failureLines{20.0};
-    /// Rate limit for the sampled log lines of served statements.
+    /// Log lines per second for served statements, which are only sampled.
     support::LogBudget sampleLines{2.0};
 
 private:
--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -16,10 +16,11 @@
 
 namespace asio = boost::asio;
 
-/// A read waits for a replica for at most the objective divided by this; three quarters are left for another member.
+/// A read waits for a connection to a replica for at most the service's latency objective divided by this; three quarters are left for
+/// another member.
 constexpr auto replicaWaitDivisor = 4;
 
-/// A statement waits for the primary, or for one to be promoted, for at most the route's timeout divided by this; the other half is left
+/// A statement waits for the primary, or for one to be promoted, for at most the service's timeout divided by this; the other half is left
 /// to run it. No other proxy can serve it sooner, and a caller that is refused only retries into the same queue, with one attempt fewer.
 constexpr auto primaryWaitDivisor = 2;
 
--- a/lib/Interactive/statementrun.cpp
+++ b/lib/Interactive/statementrun.cpp
@@ -34,7 +34,7 @@
     return command;
 }
 
-/// \return whether the connection has a value that the session lacks; a single value can be changed but not removed
+/// \return whether the connection has a value that the session lacks. Only a Discard, which resets the whole connection, removes a value.
 auto hasForeignValue(const AppliedState &connection, const SessionState &session) -> bool
 {
     return std::any_of(connection.values.begin(), connection.values.end(), [&session](const auto &value) {
--- a/unittests/Interactive/sessiontest.cpp
+++ b/unittests/Interactive/sessiontest.cpp
@@ -362,7 +362,7 @@
     CHECK_FALSE(proxy.run(session, statementOf(StatementKind::Commit)).failure);
 }
 
-TEST_CASE("a name without a route is unknown only if the proxy has a current view")
+TEST_CASE("a database name without a service is unknown only if the proxy has a current view")
 {
     auto proxy = Proxy(Consistency::Strong);
     CHECK(std::get<FailureReply>(proxy.service->open("nobody")).failure == Failure::UnknownDatabase);
--- a/unittests/Sessions/coveragetest.cpp
+++ b/unittests/Sessions/coveragetest.cpp
@@ -44,7 +44,8 @@
 TEST_CASE("discarded entries of a replica in an ended term do not cover a position")
 {
     // The caller's write is entry 26 of term 3. A partitioned replica still serves term 2 up to entry 40. Compared by position alone
-    // it would cover entry 26, and the caller would not read its own write; only 25 entries of term 2 are still valid.
+    // it would cover entry 26, and the caller would not read its own write. Of the replica's log only the first 25 entries are still
+    // valid.
     const auto group = promotedTwice();
     CHECK_FALSE(covers(group, at(3, 26), at(2, 40)));
     CHECK(covers(group, at(3, 25), at(2, 40)));
--- a/unittests/Sessions/keypropertytest.cpp
+++ b/unittests/Sessions/keypropertytest.cpp
@@ -109,7 +109,6 @@
         this->attempts.push_back({std::move(holders), KeyAttempt(count), this->now});
     }
 
-    /// Loses or duplicates a message.
     auto loseOrDuplicate(std::uint8_t pick, bool twice) -> void
     {
         if (this->messages.empty()) {
@@ -181,7 +180,7 @@
         this->sendToHolders(number, MessageKind::Abandon);
     }
 
-    /// The coordinator times out, its send ends, or it crashes.
+    /// Ends an attempt: its send ends or it times out, and its coordinator notifies the holders, or its coordinator crashes and sends nothing.
     auto endAttempt(std::uint8_t pick) -> void
     {
         if (this->attempts.empty()) {
