--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -33,7 +33,7 @@
 /// If it is not open in this time, another proxy or member is tried; waiting for the retransmission of a lost packet would take a second.
 constexpr auto connectLimit = std::chrono::milliseconds(400);
 
-auto acceptsAge(const membership::ServiceView &service) -> bool
+auto acceptsStaleReads(const membership::ServiceView &service) -> bool
 {
     return service.consistency == membership::Consistency::BoundedStaleness || service.consistency == membership::Consistency::ReadYourWrites;
 }
@@ -76,7 +76,7 @@
     auto needed = this->neededPosition(context.service);
     if (needed) {
         this->core->refreshAgeingProof(context.service.group, context.service.readAge);
-    } else if (acceptsAge(context.service)) {
+    } else if (acceptsStaleReads(context.service)) {
         co_await this->core->refreshProof(context.service.group, context.service.readAge);
         needed = this->neededPosition(context.service);
     }
@@ -104,7 +104,7 @@
 
 auto CallerSession::neededPosition(const membership::ServiceView &service) const -> std::optional<DataPosition>
 {
-    if (!acceptsAge(service)) {
+    if (!acceptsStaleReads(service)) {
         return std::nullopt;
     }
     auto needed = this->core->proofsOf(service.group).covering(support::now() - service.readAge);
@@ -117,13 +117,13 @@
 
 auto CallerSession::acquire(const Target &target, const StatementContext &context) -> asio::awaitable<LeaseResult>
 {
-    auto claim = ConnectionRequest();
-    claim.values = this->state.values;
-    claim.waitLimit = std::min<Duration>(queueWaitLimit(context.service, target.member.isPrimary), context.remaining());
-    claim.connectLimit = std::min<Duration>(connectLimit, context.remaining());
-    claim.objective = objectiveOf(context.service);
-    claim.priority = context.service.priority;
-    auto result = co_await this->core->parts.pool->acquire(target.member.group, target.member.upstream, std::move(claim));
+    auto request = ConnectionRequest();
+    request.values = this->state.values;
+    request.waitLimit = std::min<Duration>(queueWaitLimit(context.service, target.member.isPrimary), context.remaining());
+    request.connectLimit = std::min<Duration>(connectLimit, context.remaining());
+    request.objective = objectiveOf(context.service);
+    request.priority = context.service.priority;
+    auto result = co_await this->core->parts.pool->acquire(target.member.group, target.member.upstream, std::move(request));
     if (const auto *const why = std::get_if<FailureReply>(&result); why != nullptr && why->failure != Failure::Busy) {
         this->core->load.failed(target.member.upstream.id, support::now());
     }
