--- a/include/sapphirespool/Interactive/session.h
+++ b/include/sapphirespool/Interactive/session.h
@@ -60,10 +60,10 @@
     auto operator=(const SessionRecorder &) -> SessionRecorder & = delete;
     virtual ~SessionRecorder() = default;
 
-    /// An upstream answered a statement.
+    /// An upstream answered a statement without a failure.
     virtual auto served(const ServiceId &service, Access access, bool byPrimary, Duration latency) -> void = 0;
     virtual auto refused(const ServiceId &service, Failure failure) -> void = 0;
-    /// A statement that had not run is retried.
+    /// An attempt ended without running the statement. This is also called for the last attempt, which no retry follows.
     virtual auto retried(const ServiceId &service, Failure because) -> void = 0;
 };
 
@@ -88,7 +88,7 @@
     /// Refuses new transactions and single statements from now on; open transactions continue.
     virtual auto refuseNewWork() -> void = 0;
 
-    /// Rolls open transactions back at their next statement from now on.
+    /// From now on rolls an open transaction back at its next read or write. A commit still runs.
     virtual auto abortTransactions() -> void = 0;
 
     [[nodiscard]] virtual auto counts() const -> SessionCounts = 0;
