--- a/include/sapphirespool/Forwarding/ownership.h
+++ b/include/sapphirespool/Forwarding/ownership.h
@@ -18,14 +18,15 @@
 /// Load pattern: a fleet has more proxies than an upstream accepts connections, or only a few more connections than proxies. Split
 /// equally, each proxy gets one connection or none: a proxy with many callers refuses some while the connections of its peers are idle,
 /// and a single transaction that is idle blocks a whole proxy. A few owners share the connections among all callers, keep the connection
-/// limit exactly, and cost the other proxies one round trip between proxies. An owner that the control group no longer hears from is
-/// replaced by the next candidate as long as enough candidates are left. Otherwise an upstream whose owners are all cut off would be
-/// served by nobody.
+/// limit exactly, and cost the other proxies one round trip between proxies.
+///
+/// Failure: a network partition separates all owners of an upstream from the control group, and no proxy serves the upstream. So an owner that
+/// the control group has lost contact with (ProxyView::silent) is replaced by the next candidate, as long as enough candidates are left.
 class Ownership
 {
 public:
-    /// Owners per upstream. Two are left when one is lost, or restarts in a rolling restart; each has a third of the connections, which
-    /// is still enough for a shared pool.
+    /// Owners per upstream. Two remain when one fails, or restarts in a rolling restart. Each owner has a third of the connections, which is
+    /// enough for a shared pool.
     static constexpr auto ownersPerUpstream = std::size_t{3};
     /// If an equal split gives each proxy at least this many connections, all proxies open their own: a proxy with that many rarely has
     /// all of them busy while its peers have idle ones, and it saves the round trip to an owner.
@@ -33,10 +34,12 @@
     /// Connections left for the control group, which queries the members' state during a promotion.
     static constexpr auto reservedConnections = std::uint32_t{2};
 
-    /// Statements in flight per slot, summed over all holders. A forwarded statement counts during its round trip between proxies too,
-    /// which for short statements takes as long as their execution: with one statement per slot the slots would idle half of the time.
+    /// Statements in flight per slot, summed over all proxies that open connections to the upstream. A forwarded statement counts during its
+    /// round trip between proxies too, which for short statements takes as long as their execution: with one statement per slot the slots
+    /// would idle half of the time.
     static constexpr auto statementsPerSlot = std::size_t{2};
-    /// Lower bound for the statements in flight per holder, so that two concurrent callers need not wait for each other while slots are idle.
+    /// Lower bound for the statements in flight per such proxy, so that two concurrent callers need not wait for each other while slots are
+    /// idle.
     static constexpr auto minStatementsPerHolder = std::size_t{2};
 
     Ownership(VmId self, ZoneId zone);
--- a/include/sapphirespool/Interactive/connectionpool.h
+++ b/include/sapphirespool/Interactive/connectionpool.h
@@ -46,7 +46,7 @@
     std::shared_ptr<UpstreamConnection> leased;
 };
 
-/// A statement's request for a connection, and its position in the queue.
+/// A statement's request for a connection, with the values that determine its position in the queue.
 struct ConnectionRequest
 {
     /// A connection that already has these values is preferred.
@@ -67,8 +67,8 @@
 struct ConnectionLimits
 {
     std::size_t connections = 0;
-    /// Statements that the upstream runs at a time. Only a few more than it has slots, because statements queued at the upstream run in its
-    /// order, not by the callers' priorities and deadlines.
+    /// Statements that the upstream runs or queues at a time. Only a few more than its slots, because the upstream runs the statements that it queues in its
+    /// own order, not by the callers' priorities and deadlines.
     std::size_t statements = 0;
 };
 
@@ -87,6 +87,9 @@
 };
 
 /// Pools connections by upstream, up to the limit of each upstream. All calls run on the executor.
+///
+/// Sessions lease a connection for a statement or a transaction. Without the pool each session would need a connection of its own, and the
+/// sessions would exceed the connection limits of the upstreams.
 class ConnectionPool
 {
 public:
@@ -113,7 +116,7 @@
         -> boost::asio::awaitable<std::optional<PositionProof>>
         = 0;
 
-    /// \param limits this proxy's share of \p upstream; without any connection the pool erases the entry once it is unused
+    /// \param limits this proxy's share of \p upstream; if they allow no connection, the pool erases its entry once that is unused
     virtual auto setLimits(const UpstreamId &upstream, const ConnectionLimits &limits) -> void = 0;
 
     /// Closes the idle connections to \p upstream now, and the busy ones when they are returned.
@@ -124,6 +127,8 @@
 
 private:
     friend class ConnectionLease;
+    /// Takes back a leased connection.
+    /// \param clean whether the connection may be leased again; otherwise it is closed
     virtual auto returned(const UpstreamId &upstream, std::shared_ptr<UpstreamConnection> connection, bool clean) -> void = 0;
 };
 
--- a/include/sapphirespool/Interactive/positionproofs.h
+++ b/include/sapphirespool/Interactive/positionproofs.h
@@ -21,15 +21,16 @@
 
 /// Keeps the recent position proofs of a group.
 ///
-/// A primary that answers a write, or a statement of a transaction that only a primary may run, was primary when it answered. So the
-/// end of its log at that time covers all writes acknowledged before the request was sent. A replica whose log contains that position has
-/// applied all of them. So a read with an accepted age needs no round trip to the primary, only a proof that is no older than that age.
+/// A primary that answers a write, or a statement of a transaction that only a primary may run, was primary when it answered. Therefore the
+/// end of its log at that time covers all writes acknowledged before the request was sent, and a replica whose log contains that position
+/// has applied all of them. A read that accepts data of some age needs only a proof that is no older than that. Without kept proofs each
+/// such read would cost a round trip to the primary.
 class PositionProofs
 {
 public:
-    /// Minimum time between two kept proofs; a closer one would not serve any more reads.
+    /// Minimum time between two kept proofs; a closer one would hardly admit additional reads.
     static constexpr auto spacing = std::chrono::milliseconds(20);
-    /// Older proofs serve no read, since the longest age that callers accept is a few seconds.
+    /// Age after which a proof is dropped. It would admit no read, since the longest age that callers accept is a few seconds.
     static constexpr auto longestAge = std::chrono::milliseconds(10'000);
 
     /// \param sent when the request was sent to the primary
--- a/include/sapphirespool/Interactive/upstreamload.h
+++ b/include/sapphirespool/Interactive/upstreamload.h
@@ -37,9 +37,9 @@
     /// Backoff during which a failed member is the last choice; doubled for each further failure, up to the limit.
     static constexpr auto firstBackoff = std::chrono::milliseconds(100);
     static constexpr auto longestBackoff = std::chrono::milliseconds(2'000);
-    /// A member that lacks the position that a read requires is the last choice for this fraction of its lag, within the bounds. A member
+    /// A member that lacks the position that a read requires is the last choice for its lag divided by this, within the bounds. A member
     /// with a replication delay of some tens of milliseconds catches up almost at once, one that is ten seconds behind does not.
-    /// Each read that it refuses costs a round trip and a position in a queue. The upper bound limits how long its recovery goes
+    /// Each read that a lagging member refuses costs a round trip and a position in a queue. The upper bound limits how long its recovery goes
     /// unnoticed.
     static constexpr auto lagDivisor = 4;
     static constexpr auto shortestLagBackoff = std::chrono::milliseconds(60);
@@ -60,7 +60,7 @@
     auto failed(const UpstreamId &upstream, TimePoint now) -> void;
 
     /// Records that \p upstream lacked the position that a read requires.
-    /// \param behind time since the group's log is known to extend beyond that of the upstream; zero if it is unknown
+    /// \param behind time since the earliest proof that the group's log extends beyond that of the upstream; zero if there is no such proof
     auto lagged(const UpstreamId &upstream, Duration behind, TimePoint now) -> void;
 
     /// Removes all upstreams that are not in \p present.
--- a/lib/Forwarding/forwardingpool.cpp
+++ b/lib/Forwarding/forwardingpool.cpp
@@ -176,7 +176,7 @@
 
     auto setLimits(const UpstreamId &, const interactive::ConnectionLimits &) -> void override
     {
-        // The limits are derived from the view.
+        // Ignored: viewChanged() derives the limits from the view.
     }
 
     auto retire(const UpstreamId &upstream) -> void override
@@ -213,7 +213,7 @@
     };
 
     /// \return whether the failure concerns a single owner, so that others may still serve: it cannot reach the upstream, or its share of the
-    ///         connections is not free yet. At a saturated upstream a statement would wait at each owner alike.
+    ///         connections is not available yet. A saturated upstream concerns all owners: a statement would wait at each of them.
     static auto mayOtherOwnersServe(interactive::Failure failure) -> bool
     {
         return failure == interactive::Failure::Unreachable || failure == interactive::Failure::ConnectionLimit;
--- a/lib/Forwarding/ownerchannel.cpp
+++ b/lib/Forwarding/ownerchannel.cpp
@@ -22,7 +22,7 @@
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
-/// A round trip between availability zones takes some milliseconds; a proxy that accepts no connection in this time is down or cut off.
+/// A round trip between availability zones takes some milliseconds; a proxy that accepts no connection in this time is down or unreachable.
 constexpr auto connectTimeout = std::chrono::milliseconds(400);
 /// Time that an answer may take beyond the owner's own time limit: the round trip, and scheduling delays of a busy processor.
 constexpr auto answerMargin = std::chrono::milliseconds(250);
@@ -67,7 +67,8 @@
         }
         auto request = Exchange{{commands.begin(), commands.end()}, std::chrono::ceil<std::chrono::milliseconds>(limit)};
         result = co_await this->channel->exchange(this->lease, std::move(request));
-        // The owner's time of sending is by another clock. The time of sending here is earlier, and so safe as the time of a proof.
+        // The owner does not report its send time, since the clocks of two proxies cannot be compared. The send time here is earlier than
+        // the owner's, so a proof never appears younger than it is.
         result.sentAt = sentAt;
         this->broken = this->broken || result.broken;
         co_return result;
@@ -338,8 +339,8 @@
     if (answered || !hadConnection || this->presence.isPresent()) {
         co_return;
     }
-    // After a network partition TCP retransmits on the old connection only after seconds. The connection is closed only if the owner answers
-    // on a new one: leases of idle transactions depend on it, and an owner that is merely slow still holds them.
+    // After a network partition TCP retransmits on the old connection only after seconds. The old connection is closed only if the owner
+    // answers on a new one, because closing it ends the leases of idle transactions, which an owner that is merely slow still holds.
     const auto fresh = std::make_shared<OwnerChannel>(this->executor, this->endpoint);
     const auto reached = co_await fresh->connect(connectTimeout);
     const auto isResponsive = reached && co_await fresh->answersPing();
@@ -377,8 +378,8 @@
 
 auto OwnerChannel::awaitWithPings(std::shared_ptr<Waiter> waiter, Duration limit) -> asio::awaitable<void>
 {
-    // A VM that freezes, or is cut off without a reset, leaves its connections open. Without pings a statement would wait until its time
-    // limit, and so would each one after it, although other owners could serve them.
+    // A VM that freezes or is partitioned leaves its connections open, without a reset. Without pings this statement and each one after it
+    // would wait until their time limits, although other owners could serve them.
     const auto self = this->shared_from_this();
     const auto at = this->generation();
     const auto deadline = support::now() + limit;
--- a/lib/Forwarding/ownerchannel.h
+++ b/lib/Forwarding/ownerchannel.h
@@ -26,8 +26,11 @@
 /// \param clean whether the owner may reuse the connection; otherwise it closes it
 auto releaseRemote(interactive::UpstreamConnection &link, bool clean) -> void;
 
-/// Leases connections from one owner and runs commands on them. Connects on first use, and again after a failure. An owner that failed is
-/// probed in the background until it answers.
+/// Leases connections from one owner and runs commands on them. Connects on first use, and again after a failure.
+///
+/// Failure: an owner freezes, or a network partition separates it from this proxy, and its connections stay open. Without pings each
+/// statement would wait for it until the time limit. An owner that failed is probed in the background until it answers, so that no
+/// statement has to wait in order to detect that it is reachable again.
 class OwnerChannel : public std::enable_shared_from_this<OwnerChannel>
 {
 public:
@@ -56,7 +59,7 @@
 
     auto close() -> void;
 
-    /// \return whether the owner has not failed since the last contact
+    /// \return whether no failure was recorded since the last message from the owner
     [[nodiscard]] auto isReachable() const -> bool;
 
     /// Clears the recorded failure of the owner, which has restarted since.
@@ -99,7 +102,7 @@
     auto probe() -> boost::asio::awaitable<void>;
     auto answersPing() -> boost::asio::awaitable<bool>;
     /// Sends \p message and waits for its answer.
-    /// \param silence what to do if the owner becomes unresponsive
+    /// \param onUnresponsive what to do if the owner becomes unresponsive
     /// \return the answer, or nothing if none arrived in time
     auto sendRequest(Message message, Duration limit, UnresponsivePolicy onUnresponsive) -> boost::asio::awaitable<std::optional<Message>>;
     /// Waits until \p waiter has its answer, \p limit has passed, the connection ends, or the owner fails to answer a ping.
--- a/lib/Forwarding/ownerserver.cpp
+++ b/lib/Forwarding/ownerserver.cpp
@@ -20,7 +20,7 @@
 namespace asio = boost::asio;
 
 /// How long a request waits for a view that makes this proxy an owner. A new revision of the view reaches all proxies within some tenths of a
-/// second. An owner that takes longer is cut off from the control group, and the requesting proxy should try the next owner.
+/// second. An owner that takes longer has lost contact to the control group, and the requesting proxy should try the next owner.
 constexpr auto viewWaitLimit = std::chrono::milliseconds(250);
 
 } // namespace
--- a/lib/Forwarding/ownerserver.h
+++ b/lib/Forwarding/ownerserver.h
@@ -28,8 +28,8 @@
     /// Waits at most \p waitLimit for a view that makes this proxy an owner of \p upstream.
     ///
     /// Load pattern: after a power loss, or when owners change, views reach the proxies one after another, and proxies that have the new view
-    /// send requests to owners that do not have it yet. If the owner refused them, each caller would use up an attempt some tens of
-    /// milliseconds before the owner could serve it.
+    /// send requests to owners that do not have it yet. If these owners refused them, each caller would use up an attempt some tens of
+    /// milliseconds before its request could be served.
     /// \return the upstream, or nothing if no such view arrived
     virtual auto awaitOwned(GroupId group, UpstreamId upstream, Duration waitLimit) -> boost::asio::awaitable<std::optional<membership::UpstreamView>> = 0;
 };
--- a/lib/Forwarding/ownership.cpp
+++ b/lib/Forwarding/ownership.cpp
@@ -52,6 +52,7 @@
     for (const auto &holder : sessions::chooseHolders(upstream.id.value(), candidates, ownersPerUpstream)) {
         owners.push_back(holder.vm);
     }
+    // Each proxy rotates the owners by the hash of its own VM, so that the proxies spread their requests over the owners.
     const auto &name = this->self.value();
     const auto offset = XXH64(name.data(), name.size(), 0) % std::max<std::size_t>(1, owners.size());
     std::rotate(owners.begin(), owners.begin() + static_cast<std::ptrdiff_t>(offset), owners.end());
--- a/lib/Interactive/connectionpool.cpp
+++ b/lib/Interactive/connectionpool.cpp
@@ -31,7 +31,8 @@
 
 constexpr auto awaitTuple = asio::as_tuple(asio::use_awaitable);
 
-/// Retry delay for callers that met an unreachable upstream: about the time until the pool's probes find the upstream reachable again.
+/// Retry delay in the refusal of a statement whose upstream is unreachable: the longest pause between two probes, since the pool detects by a
+/// probe that the upstream is reachable again.
 constexpr auto unreachableRetryDelay = std::chrono::duration_cast<std::chrono::milliseconds>(support::Presence::longestPause);
 
 /// Time limit of a probe. It is longer than that of a probe on which statements wait, because an overloaded proxy or network path must
@@ -246,8 +247,8 @@
 
     static auto busyReply(std::string detail, Duration wait) -> FailureReply
     {
-        // A caller that retries before the present queue is served finds it again. The answer to a single statement rarely arrives
-        // sooner than this minimum.
+        // Lower bound of the retry delay. A caller that retries before the present queue is served would wait in it again, and a single
+        // statement is rarely answered sooner.
         constexpr auto soonest = std::chrono::milliseconds(50);
         return {Failure::Busy, std::move(detail), std::max(soonest, std::chrono::ceil<std::chrono::milliseconds>(wait))};
     }
@@ -338,7 +339,7 @@
         if (entry.presence.failed(now) && entry.logBudget.tryTake(now)) {
             support::log(support::Event::UpstreamAway, {{"upstream", upstream.value()}, {"waiting", entry.waiters.size()}, {"busy", entry.busy}});
         }
-        // A network partition does not close connections. A statement sent on one of them would wait until its deadline.
+        // A network partition does not close connections. A statement sent on an idle one would wait until its deadline.
         for (const auto &connection : entry.idle) {
             connection->close();
         }
--- a/lib/Interactive/primarywatch.h
+++ b/lib/Interactive/primarywatch.h
@@ -16,7 +16,7 @@
 /// Failure: a primary loses power or its network path. No connection is reset, so each statement waits until its deadline, a second or
 /// more, and the failure is detected only then; the promotion begins that much later for all callers. A single statement may just be slow,
 /// and a single answer may be lost. So only an upstream that has answered nothing at all for a while is probed, by a new connection. It is
-/// suspected only if it does not accept the connection.
+/// suspected only if the probe fails.
 class PrimaryWatch
 {
 public:
@@ -37,7 +37,9 @@
         auto operator==(const Probe &) const -> bool = default;
     };
 
+    /// Records that a statement was sent.
     auto sent(const UpstreamId &upstream, TimePoint now) -> void;
+
     /// Records the end of a statement.
     /// \param answered whether the upstream answered it
     auto ended(const UpstreamId &upstream, bool answered, TimePoint now) -> void;
--- a/lib/Interactive/upstreamentry.h
+++ b/lib/Interactive/upstreamentry.h
@@ -56,7 +56,7 @@
     /// Time from sending a statement that takes a slot to its answer.
     decisions::ServiceEstimate serviceTime;
     bool retired = false;
-    /// The upstream as in the view of the latest request.
+    /// The upstream, as passed with the latest request for a connection.
     membership::UpstreamView upstream;
     support::Presence presence;
     /// Limits the log lines about an upstream that alternates between reachable and unreachable.
--- a/lib/Interactive/upstreamload.cpp
+++ b/lib/Interactive/upstreamload.cpp
@@ -58,6 +58,7 @@
 
 auto UpstreamLoad::expectedMs(const ReadCandidate &candidate, TimePoint now) const -> double
 {
+    // Exceeds any realistic expected time, so that a member in backoff is chosen only if each candidate is in backoff.
     constexpr auto backoffPenaltyMs = 1'000'000.0;
     auto average = inMs(leastExpectedTime);
     auto penalty = candidate.inOwnZone ? 0.0 : inMs(crossZonePenalty);
--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -113,7 +113,7 @@
         this->io.run_for(time);
     }
 
-    /// Acquires a lease and keeps it in leases.
+    /// Acquires a lease and keeps it in `leases`.
     /// \return why there is none, or nothing on success
     auto acquire(std::size_t proxy, Duration waitLimit = 50ms) -> std::optional<FailureReply>
     {
@@ -241,7 +241,7 @@
         return this->ownersFor(proxy).front();
     }
 
-    /// \return when read-write transactions were begun, in order
+    /// \return the times at which read-write transactions were begun, in order
     [[nodiscard]] auto begunAtPrimary() const -> std::vector<TimePoint>
     {
         auto begun = std::vector<TimePoint>();
@@ -366,8 +366,8 @@
 TEST_CASE("proofs from owners never appear younger than they are, and most do not query the primary")
 {
     // Failure: a proof that appears younger than it is lets a replica serve reads although it lacks an acknowledged write. Each proxy queries
-    // an owner, which may have queried the primary some time ago; the round trip and the owner's wait come in between. The reported time is
-    // counted back from the request of the proxy, so it is earlier than the query to the primary, by at most the duration of the request.
+    // an owner, which may have queried the primary some time ago, and the round trip and the owner's wait add to the age. The proxy subtracts the
+    // reported age from the time of its own request. The result is earlier than the query to the primary, by at most the request's duration.
     // Owners whose proof is recent enough do not query the primary again.
     constexpr auto rounding = 1ms;
     auto fleet = Fleet();
@@ -484,7 +484,7 @@
 
 TEST_CASE("the next owner is tried when one cannot reach the upstream")
 {
-    // The primary is cut off from one of its owners and accepts connections from the others. That owner answers a proxy's request with
+    // The primary is unreachable for one of its owners and accepts connections from the others. That owner answers a proxy's request with
     // Unreachable, which the proxy must not pass to its caller: the next owner has a connection.
     auto fleet = Fleet();
     auto ownership = Ownership(VmId("vm-10"), ZoneId("zone-a"));
@@ -520,7 +520,7 @@
 
 TEST_CASE("an owner whose view stays behind is skipped")
 {
-    // An owner that is cut off from the control group has no view with a new upstream; two other owners serve it.
+    // An owner that lost contact to the control group has no view with a new upstream; two other owners serve that upstream.
     auto fleet = Fleet();
     const auto proxy = fleet.proxyWithoutConnections();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
--- a/unittests/Forwarding/ownershiptest.cpp
+++ b/unittests/Forwarding/ownershiptest.cpp
@@ -87,7 +87,7 @@
     CHECK(first.size() == Ownership::ownersPerUpstream);
 }
 
-TEST_CASE("a leaving proxy is no longer an owner, and only its own position is reassigned")
+TEST_CASE("a leaving proxy is no longer an owner, and the other owners stay the same")
 {
     auto view = viewOf(60, 58);
     const auto &upstream = view.groups.front().members.front();
@@ -107,8 +107,8 @@
 
 TEST_CASE("unresponsive owners are replaced as long as enough proxies are responsive")
 {
-    // Failure: a group has a new primary, but no proxy serves it, because all owners of its connections are among the proxies that were cut
-    // off from the control group.
+    // Failure: a group has a new primary, but no proxy serves it, because all owners of its connections are among the proxies that lost
+    // contact to the control group.
     auto view = viewOf(60, 58);
     const auto &upstream = view.groups.front().members.front();
     auto ownership = Ownership(VmId("vm-0"), ZoneId("zone-0"));
--- a/unittests/Interactive/connectionpooltest.cpp
+++ b/unittests/Interactive/connectionpooltest.cpp
@@ -145,8 +145,8 @@
 
 TEST_CASE("an unreachable upstream is not connected to until a probe succeeds, and requests for it fail at once")
 {
-    // The upstream is partitioned from this proxy. Each statement that tries to connect would wait until the connect limit. When it is
-    // refused at once, its proxy can try another owner.
+    // The upstream is partitioned from this proxy. Each statement that tries to connect would wait until the connect limit. If the pool
+    // refuses the statement at once, its proxy can try another owner.
     auto upstream = SingleSlotPool();
     upstream.databases.member("a").reachable = false;
     const auto first = upstream.acquire(2);
@@ -177,7 +177,7 @@
     const auto next = slot.acquire(0);
     REQUIRE_FALSE(next->has_value());
 
-    SECTION("")
+    SECTION("if the upstream accepts no connection")
     {
         slot.databases.member("a").reachable = false;
         slot.io.restart();
