--- a/include/sapphirespool/Interactive/connectionpool.h
+++ b/include/sapphirespool/Interactive/connectionpool.h
@@ -110,9 +110,9 @@
 
     /// Gets a proof of the end of the group's log from \p upstream if it is the primary. The pool begins a read-write transaction and rolls it
     /// back, which only a primary accepts and which takes none of its slots.
-    /// \param oldest maximum age of an existing proof that is returned instead
+    /// \param maxAge maximum age of an existing proof that is returned instead
     /// \return nothing if the upstream is not the primary, or does not answer within \p limit
-    virtual auto prove(GroupId group, membership::UpstreamView upstream, Duration oldest, Duration limit)
+    virtual auto prove(GroupId group, membership::UpstreamView upstream, Duration maxAge, Duration limit)
         -> boost::asio::awaitable<std::optional<PositionProof>>
         = 0;
 
--- a/lib/Forwarding/codec.cpp
+++ b/lib/Forwarding/codec.cpp
@@ -252,7 +252,7 @@
         auto out = this->to.initProve();
         out.setGroup(body.group.value());
         out.setUpstream(body.upstream.value());
-        out.setOldestMs(static_cast<std::uint64_t>(body.oldest.count()));
+        out.setOldestMs(static_cast<std::uint64_t>(body.maxAge.count()));
         out.setLimitMs(static_cast<std::uint64_t>(body.limit.count()));
     }
 
--- a/lib/Forwarding/codec.h
+++ b/lib/Forwarding/codec.h
@@ -65,7 +65,7 @@
     GroupId group;
     UpstreamId upstream;
     /// Maximum age of an acceptable proof.
-    std::chrono::milliseconds oldest{0};
+    std::chrono::milliseconds maxAge{0};
     std::chrono::milliseconds limit{0};
 };
 
--- a/lib/Forwarding/forwardingpool.cpp
+++ b/lib/Forwarding/forwardingpool.cpp
@@ -135,20 +135,20 @@
         return this->localPool->probe(std::move(group), std::move(upstream), limit, thorough);
     }
 
-    auto prove(GroupId group, membership::UpstreamView upstream, Duration oldest, Duration limit)
+    auto prove(GroupId group, membership::UpstreamView upstream, Duration maxAge, Duration limit)
         -> asio::awaitable<std::optional<interactive::PositionProof>> override
     {
         const auto keepAlive = this->shared_from_this();
         const auto *const groupView = this->view == nullptr ? nullptr : this->view->findGroup(group);
         const auto owners = groupView == nullptr ? std::vector<VmId>() : this->ownership.ownersOf(*groupView, upstream);
         if (owners.empty()) {
-            co_return co_await this->localPool->prove(group, upstream, oldest, limit);
+            co_return co_await this->localPool->prove(group, upstream, maxAge, limit);
         }
         const auto request
-            = Prove{group, upstream.id, std::chrono::floor<std::chrono::milliseconds>(oldest), std::chrono::ceil<std::chrono::milliseconds>(limit)};
+            = Prove{group, upstream.id, std::chrono::floor<std::chrono::milliseconds>(maxAge), std::chrono::ceil<std::chrono::milliseconds>(limit)};
         for (const auto &owner : this->orderOwners(owners, upstream.id)) {
             if (owner == this->self) {
-                co_return co_await this->localPool->prove(group, upstream, oldest, limit);
+                co_return co_await this->localPool->prove(group, upstream, maxAge, limit);
             }
             const auto channel = this->channelTo(owner);
             auto proof = std::optional<interactive::PositionProof>();
@@ -355,12 +355,12 @@
         return channel;
     }
 
-    auto returned(const UpstreamId &upstream, std::shared_ptr<interactive::UpstreamConnection> link, bool clean) -> void override
+    auto returned(const UpstreamId &upstream, std::shared_ptr<interactive::UpstreamConnection> connection, bool clean) -> void override
     {
         if (const auto found = this->remoteUsages.find(upstream); found != this->remoteUsages.end() && found->second.busy > 0) {
             --found->second.busy;
         }
-        releaseRemote(*link, clean);
+        releaseRemote(*connection, clean);
     }
 
     VmId self;
--- a/lib/Forwarding/ownerchannel.cpp
+++ b/lib/Forwarding/ownerchannel.cpp
@@ -102,9 +102,9 @@
 
 } // namespace
 
-auto releaseRemote(interactive::UpstreamConnection &link, bool clean) -> void
+auto releaseRemote(interactive::UpstreamConnection &connection, bool clean) -> void
 {
-    if (auto *const remote = dynamic_cast<RemoteConnection *>(&link)) {
+    if (auto *const remote = dynamic_cast<RemoteConnection *>(&connection)) {
         remote->release(clean);
     }
 }
@@ -381,21 +381,21 @@
     // A VM that freezes or is partitioned leaves its connections open, without a reset. Without pings this statement and each one after it
     // would wait until their time limits, although other owners could serve them.
     const auto self = this->shared_from_this();
-    const auto at = this->generation();
+    const auto startGeneration = this->generation();
     const auto deadline = support::now() + limit;
-    while (this->isPending(*waiter, at) && support::now() < deadline) {
+    while (this->isPending(*waiter, startGeneration) && support::now() < deadline) {
         const auto left = deadline - support::now();
         waiter->timer.expires_after(std::min<Duration>(pingInterval, left));
         co_await waiter->timer.async_wait(awaitTuple);
-        const auto isSilent = support::now() - this->lastContactAt >= pingInterval;
-        if (!isSilent || !this->isPending(*waiter, at)) {
+        const auto isUnresponsive = support::now() - this->lastContactAt >= pingInterval;
+        if (!isUnresponsive || !this->isPending(*waiter, startGeneration)) {
             continue;
         }
         const auto sentAt = support::now();
         this->connection->send(Message{0, Ping()});
         waiter->timer.expires_after(pongTimeout);
         co_await waiter->timer.async_wait(awaitTuple);
-        if (this->isPending(*waiter, at) && this->lastContactAt < sentAt) {
+        if (this->isPending(*waiter, startGeneration) && this->lastContactAt < sentAt) {
             this->noteFailure();
             co_return;
         }
--- a/lib/Forwarding/ownerchannel.h
+++ b/lib/Forwarding/ownerchannel.h
@@ -24,7 +24,7 @@
 
 /// Releases a connection that is leased from another proxy; does nothing for other connections.
 /// \param clean whether the owner may reuse the connection; otherwise it closes it
-auto releaseRemote(interactive::UpstreamConnection &link, bool clean) -> void;
+auto releaseRemote(interactive::UpstreamConnection &connection, bool clean) -> void;
 
 /// Leases connections from one owner and runs commands on them. Connects on first use, and again after a failure.
 ///
--- a/lib/Forwarding/ownerserver.cpp
+++ b/lib/Forwarding/ownerserver.cpp
@@ -157,7 +157,7 @@
     auto answer = Message{number, Proved()};
     auto upstream = co_await self->findOwned(request.group, request.upstream, Duration(0));
     if (upstream) {
-        const auto proof = co_await self->pool->prove(request.group, *std::move(upstream), request.oldest, request.limit);
+        const auto proof = co_await self->pool->prove(request.group, *std::move(upstream), request.maxAge, request.limit);
         if (proof) {
             // Rounded up: a proof may be reported older than it is, never younger.
             const auto age = std::chrono::ceil<std::chrono::milliseconds>(support::now() - proof->sent);
--- a/lib/Interactive/connectionpool.cpp
+++ b/lib/Interactive/connectionpool.cpp
@@ -127,18 +127,18 @@
         co_return std::get<FailureReply>(std::move(result));
     }
 
-    auto prove(GroupId group, membership::UpstreamView upstream, Duration oldest, Duration limit) -> asio::awaitable<std::optional<PositionProof>> override
+    auto prove(GroupId group, membership::UpstreamView upstream, Duration maxAge, Duration limit) -> asio::awaitable<std::optional<PositionProof>> override
     {
         const auto self = this->shared_from_this();
         const auto id = upstream.id;
-        if (auto known = this->provenSince(id, support::now() - oldest)) {
+        if (auto known = this->provenSince(id, support::now() - maxAge)) {
             co_return known;
         }
-        const auto asked = support::now();
+        const auto requestedAt = support::now();
         const auto flight = this->proving.begin(id);
         if (flight == nullptr) {
             co_await this->proving.join(id);
-            co_return this->provenSince(id, asked - oldest);
+            co_return this->provenSince(id, requestedAt - maxAge);
         }
         auto claim = ConnectionRequest();
         claim.waitLimit = limit;
--- a/unittests/Forwarding/codectest.cpp
+++ b/unittests/Forwarding/codectest.cpp
@@ -43,9 +43,9 @@
     auto answer = Exchanged();
     answer.result.results.push_back(result);
     answer.result.sent = true;
-    const auto back = decode(encode(Message{8, answer}));
-    REQUIRE(back);
-    const auto &read = std::get<Exchanged>(back->body).result;
+    const auto decodedAnswer = decode(encode(Message{8, answer}));
+    REQUIRE(decodedAnswer);
+    const auto &read = std::get<Exchanged>(decodedAnswer->body).result;
     REQUIRE(read.results.size() == 1);
     CHECK(read.sent);
     CHECK(read.results.front().rows == result.rows);
@@ -60,7 +60,7 @@
     const auto &prove = std::get<Prove>(question->body);
     CHECK(prove.group == GroupId("g"));
     CHECK(prove.upstream == UpstreamId("a"));
-    CHECK(prove.oldest == std::chrono::milliseconds(750));
+    CHECK(prove.maxAge == std::chrono::milliseconds(750));
     CHECK(prove.limit == std::chrono::milliseconds(100));
     const auto answer = decode(encode(Message{9, Proved{interactive::DataPosition{Term(2), LogPosition(5)}, std::chrono::milliseconds(3)}}));
     REQUIRE(answer);
--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -142,11 +142,11 @@
         return std::get<FailureReply>(**result);
     }
 
-    auto prove(std::size_t proxy, Duration oldest) -> std::optional<interactive::PositionProof>
+    auto prove(std::size_t proxy, Duration maxAge) -> std::optional<interactive::PositionProof>
     {
         using Proof = std::optional<interactive::PositionProof>;
         auto result = std::make_shared<std::optional<Proof>>();
-        asio::co_spawn(this->io, requestProof(this->pools[proxy], this->view, oldest, result), asio::detached);
+        asio::co_spawn(this->io, requestProof(this->pools[proxy], this->view, maxAge, result), asio::detached);
         for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(2ms);
         }
@@ -181,15 +181,15 @@
     /// Replaces the peer endpoints of \p vms by one that accepts connections and data but never answers, for the lifetime of the result.
     [[nodiscard]] auto freeze(const std::vector<VmId> &vms) -> asio::ip::tcp::acceptor
     {
-        auto silent = asio::ip::tcp::acceptor(this->io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
+        auto unresponsive = asio::ip::tcp::acceptor(this->io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
         this->view = std::make_shared<membership::ClusterView>(*this->view);
         for (auto &proxy : this->view->proxies) {
             if (std::find(vms.begin(), vms.end(), proxy.id) != vms.end()) {
-                proxy.peers.port = silent.local_endpoint().port();
+                proxy.peers.port = unresponsive.local_endpoint().port();
             }
         }
         this->publish();
-        return silent;
+        return unresponsive;
     }
 
     struct LongestAcquire
@@ -275,11 +275,11 @@
 
     static auto requestProof(std::shared_ptr<ForwardingPool> pool,
                              std::shared_ptr<membership::ClusterView> view,
-                             Duration oldest,
+                             Duration maxAge,
                              std::shared_ptr<std::optional<std::optional<interactive::PositionProof>>> result) -> asio::awaitable<void>
     {
         const auto &group = view->groups.front();
-        *result = co_await pool->prove(group.id, group.members.front(), oldest, 100ms);
+        *result = co_await pool->prove(group.id, group.members.front(), maxAge, 100ms);
     }
 
     static auto runStatement(interactive::ConnectionLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
@@ -371,21 +371,21 @@
     // Owners whose proof is recent enough do not query the primary again.
     constexpr auto rounding = 1ms;
     auto fleet = Fleet();
-    auto primaryAsked = std::map<VmId, TimePoint>();
+    auto primaryQueriedAt = std::map<VmId, TimePoint>();
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
         INFO(proxy);
         const auto owner = fleet.firstOwnerFor(proxy);
         const auto begunBefore = fleet.begunAtPrimary().size();
-        const auto asked = support::now();
+        const auto requestedAt = support::now();
         const auto proof = fleet.prove(proxy, 10s);
-        const auto took = support::now() - asked;
+        const auto took = support::now() - requestedAt;
         REQUIRE(proof);
         if (const auto begun = fleet.begunAtPrimary(); begun.size() > begunBefore) {
-            REQUIRE_FALSE(primaryAsked.contains(owner));
-            primaryAsked.emplace(owner, begun.back());
+            REQUIRE_FALSE(primaryQueriedAt.contains(owner));
+            primaryQueriedAt.emplace(owner, begun.back());
         }
-        CHECK(proof->sent <= primaryAsked.at(owner));
-        CHECK(proof->sent >= primaryAsked.at(owner) - took - rounding);
+        CHECK(proof->sent <= primaryQueriedAt.at(owner));
+        CHECK(proof->sent >= primaryQueriedAt.at(owner) - took - rounding);
     }
     CHECK(fleet.begunAtPrimary().size() <= Ownership::ownersPerUpstream);
     fleet.databases.promote("b");
@@ -471,15 +471,15 @@
     REQUIRE(fleet.acquire(proxy));
     fleet.run(1500ms);
     REQUIRE(fleet.acquire(proxy));
-    const auto back = support::now();
+    const auto reachableSince = support::now();
     auto isServed = false;
-    while (!isServed && support::now() - back < 10s) {
+    while (!isServed && support::now() - reachableSince < 10s) {
         const auto pending = fleet.beginAcquire(proxy, 500ms);
         owners.runWithFleet(100ms);
         isServed = !fleet.finish(pending);
     }
     CHECK(isServed);
-    CHECK(support::now() - back < 3s);
+    CHECK(support::now() - reachableSince < 3s);
 }
 
 TEST_CASE("the next owner is tried when one cannot reach the upstream")
--- a/unittests/Interactive/decisionstest.cpp
+++ b/unittests/Interactive/decisionstest.cpp
@@ -111,14 +111,14 @@
     const auto primary = UpstreamId("primary");
     const auto replica = UpstreamId("replica");
     const auto candidates = std::array{ReadCandidate{primary, true, false, 3}, ReadCandidate{replica, false, true, 0}};
-    auto asked = 0;
+    auto replicaReads = 0;
     for (auto now = start + 9s; now < start + 19s; now += 500ms) {
         if (load.choose(candidates, now)->upstream == replica) {
-            ++asked;
+            ++replicaReads;
             load.lagged(replica, proofs.behind(at(1, 10), start + 9s), now);
         }
     }
-    CHECK(asked <= 10);
+    CHECK(replicaReads <= 10);
     load.lagged(replica, 200ms, start + 20s);
     CHECK(load.choose(candidates, start + 20s + UpstreamLoad::shortestLagBackoff)->upstream == replica);
 }
