--- a/lib/Forwarding/codec.cpp
+++ b/lib/Forwarding/codec.cpp
@@ -174,7 +174,7 @@
 auto read(schema::CommandResult::Reader from) -> CommandResult
 {
     auto result = CommandResult();
-    // Unlike other lists the number of rows is not bounded: an answer may have many, and each one takes up bytes of the message.
+    // Unlike that of other lists, the number of rows is not checked: an answer may have many, and each one takes up bytes of the message.
     for (const auto row : from.getRows()) {
         result.rows.push_back(toString(row));
     }
--- a/lib/Forwarding/framedconnection.h
+++ b/lib/Forwarding/framedconnection.h
@@ -13,7 +13,8 @@
 {
 
 /// Sends and receives messages, each prefixed with its length. Sends never block: data that the peer has not accepted yet is buffered, up
-/// to a limit above which the peer is considered stuck and the connection is closed.
+/// to a limit above which the peer is considered stuck and the connection is closed. Without the limit the buffer for a peer that has stopped
+/// reading would grow until the process runs out of memory.
 class FramedConnection : public std::enable_shared_from_this<FramedConnection>
 {
 public:
--- a/lib/Forwarding/ownerserver.cpp
+++ b/lib/Forwarding/ownerserver.cpp
@@ -29,9 +29,10 @@
 {
 public:
     std::map<std::uint64_t, interactive::ConnectionLease> held;
-    /// Leases that were released before they were granted, or while an exchange was running on them.
+    /// Leases that were released before they were granted, or while an exchange was running on them. The release takes effect when the
+    /// lease is granted or the exchange ends.
     std::set<std::uint64_t> releasedEarly;
-    /// Leases on which an exchange is running; their release takes effect when it ends.
+    /// Leases on which an exchange is running.
     std::set<std::uint64_t> exchanging;
 };
 
--- a/lib/Interactive/positionproofs.cpp
+++ b/lib/Interactive/positionproofs.cpp
@@ -15,7 +15,7 @@
         return;
     }
     auto &last = this->proofs.back();
-    // Answers can arrive out of order. The answer to an earlier request proves nothing beyond that to a later one, and a position below
+    // Answers can arrive out of order. The answer to an earlier request proves nothing beyond the answer to a later one. A position below
     // the last one comes from a former primary, whose log ended before that of the current primary began.
     if (sent < last.sent + spacing || position < last.position) {
         return;
