--- a/lib/Forwarding/codec.cpp
+++ b/lib/Forwarding/codec.cpp
@@ -174,7 +174,7 @@
 auto read(schema::CommandResult::Reader from) -> CommandResult
 {
     auto result = CommandResult();
-    // Unlike other lists the number of rows is not bounded: an answer may have many, and each one takes up bytes of the message.
+    // Unlike that of other lists, the number of rows is not checked: an answer may have many, and each one takes up bytes of the message.
     for (const auto row : from.getRows()) {
         result.rows.push_back(toString(row));
     }
@@ -252,7 +252,7 @@
         auto out = this->to.initProve();
         out.setGroup(body.group.value());
         out.setUpstream(body.upstream.value());
-        out.setOldestMs(static_cast<std::uint64_t>(body.oldest.count()));
+        out.setOldestMs(static_cast<std::uint64_t>(body.maxAge.count()));
         out.setLimitMs(static_cast<std::uint64_t>(body.limit.count()));
     }
 
--- a/lib/Forwarding/ownerserver.cpp
+++ b/lib/Forwarding/ownerserver.cpp
@@ -20,7 +20,7 @@
 namespace asio = boost::asio;
 
 /// How long a request waits for a view that makes this proxy an owner. A new revision of the view reaches all proxies within some tenths of a
-/// second. An owner that takes longer is cut off from the control group, and the requesting proxy should try the next owner.
+/// second. An owner that takes longer has lost contact to the control group, and the requesting proxy should try the next owner.
 constexpr auto viewWaitLimit = std::chrono::milliseconds(250);
 
 } // namespace
@@ -29,9 +29,10 @@
 {
 public:
     std::map<std::uint64_t, interactive::ConnectionLease> held;
-    /// Leases that were released before they were granted, or while an exchange was running on them.
+    /// Leases that were released before they were granted, or while an exchange was running on them. The release takes effect when the
+    /// lease is granted or the exchange ends.
     std::set<std::uint64_t> releasedEarly;
-    /// Leases on which an exchange is running; their release takes effect when it ends.
+    /// Leases on which an exchange is running.
     std::set<std::uint64_t> exchanging;
 };
 
@@ -157,7 +158,7 @@
     auto answer = Message{number, Proved()};
     auto upstream = co_await self->findOwned(request.group, request.upstream, Duration(0));
     if (upstream) {
-        const auto proof = co_await self->pool->prove(request.group, *std::move(upstream), request.oldest, request.limit);
+        const auto proof = co_await self->pool->prove(request.group, *std::move(upstream), request.maxAge, request.limit);
         if (proof) {
             // Rounded up: a proof may be reported older than it is, never younger.
             const auto age = std::chrono::ceil<std::chrono::milliseconds>(support::now() - proof->sent);
--- a/unittests/Forwarding/forwardingpooltest.cpp
+++ b/unittests/Forwarding/forwardingpooltest.cpp
@@ -113,7 +113,7 @@
         this->io.run_for(time);
     }
 
-    /// Acquires a lease and keeps it in leases.
+    /// Acquires a lease and keeps it in `leases`.
     /// \return why there is none, or nothing on success
     auto acquire(std::size_t proxy, Duration waitLimit = 50ms) -> std::optional<FailureReply>
     {
@@ -142,11 +142,11 @@
         return std::get<FailureReply>(**result);
     }
 
-    auto prove(std::size_t proxy, Duration oldest) -> std::optional<interactive::PositionProof>
+    auto prove(std::size_t proxy, Duration maxAge) -> std::optional<interactive::PositionProof>
     {
         using Proof = std::optional<interactive::PositionProof>;
         auto result = std::make_shared<std::optional<Proof>>();
-        asio::co_spawn(this->io, requestProof(this->pools[proxy], this->view, oldest, result), asio::detached);
+        asio::co_spawn(this->io, requestProof(this->pools[proxy], this->view, maxAge, result), asio::detached);
         for (auto attempt = 0; attempt < 300 && !result->has_value(); ++attempt) {
             this->run(2ms);
         }
@@ -181,15 +181,15 @@
     /// Replaces the peer endpoints of \p vms by one that accepts connections and data but never answers, for the lifetime of the result.
     [[nodiscard]] auto freeze(const std::vector<VmId> &vms) -> asio::ip::tcp::acceptor
     {
-        auto silent = asio::ip::tcp::acceptor(this->io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
+        auto unresponsive = asio::ip::tcp::acceptor(this->io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
         this->view = std::make_shared<membership::ClusterView>(*this->view);
         for (auto &proxy : this->view->proxies) {
             if (std::find(vms.begin(), vms.end(), proxy.id) != vms.end()) {
-                proxy.peers.port = silent.local_endpoint().port();
+                proxy.peers.port = unresponsive.local_endpoint().port();
             }
         }
         this->publish();
-        return silent;
+        return unresponsive;
     }
 
     struct LongestAcquire
@@ -241,7 +241,7 @@
         return this->ownersFor(proxy).front();
     }
 
-    /// \return when read-write transactions were begun, in order
+    /// \return the times at which read-write transactions were begun, in order
     [[nodiscard]] auto begunAtPrimary() const -> std::vector<TimePoint>
     {
         auto begun = std::vector<TimePoint>();
@@ -275,11 +275,11 @@
 
     static auto requestProof(std::shared_ptr<ForwardingPool> pool,
                              std::shared_ptr<membership::ClusterView> view,
-                             Duration oldest,
+                             Duration maxAge,
                              std::shared_ptr<std::optional<std::optional<interactive::PositionProof>>> result) -> asio::awaitable<void>
     {
         const auto &group = view->groups.front();
-        *result = co_await pool->prove(group.id, group.members.front(), oldest, 100ms);
+        *result = co_await pool->prove(group.id, group.members.front(), maxAge, 100ms);
     }
 
     static auto runStatement(interactive::ConnectionLease &lease, std::string text, std::shared_ptr<std::optional<interactive::ExchangeResult>> result)
@@ -366,26 +366,26 @@
 TEST_CASE("proofs from owners never appear younger than they are, and most do not query the primary")
 {
     // Failure: a proof that appears younger than it is lets a replica serve reads although it lacks an acknowledged write. Each proxy queries
-    // an owner, which may have queried the primary some time ago; the round trip and the owner's wait come in between. The reported time is
-    // counted back from the request of the proxy, so it is earlier than the query to the primary, by at most the duration of the request.
+    // an owner, which may have queried the primary some time ago, and the round trip and the owner's wait add to the age. The proxy subtracts the
+    // reported age from the time of its own request. The result is earlier than the query to the primary, by at most the request's duration.
     // Owners whose proof is recent enough do not query the primary again.
     constexpr auto rounding = 1ms;
     auto fleet = Fleet();
-    auto primaryAsked = std::map<VmId, TimePoint>();
+    auto primaryQueriedAt = std::map<VmId, TimePoint>();
     for (std::size_t proxy = 0; proxy < proxyCount; ++proxy) {
         INFO(proxy);
         const auto owner = fleet.firstOwnerFor(proxy);
         const auto begunBefore = fleet.begunAtPrimary().size();
-        const auto asked = support::now();
+        const auto requestedAt = support::now();
         const auto proof = fleet.prove(proxy, 10s);
-        const auto took = support::now() - asked;
+        const auto took = support::now() - requestedAt;
         REQUIRE(proof);
         if (const auto begun = fleet.begunAtPrimary(); begun.size() > begunBefore) {
-            REQUIRE_FALSE(primaryAsked.contains(owner));
-            primaryAsked.emplace(owner, begun.back());
+            REQUIRE_FALSE(primaryQueriedAt.contains(owner));
+            primaryQueriedAt.emplace(owner, begun.back());
         }
-        CHECK(proof->sent <= primaryAsked.at(owner));
-        CHECK(proof->sent >= primaryAsked.at(owner) - took - rounding);
+        CHECK(proof->sent <= primaryQueriedAt.at(owner));
+        CHECK(proof->sent >= primaryQueriedAt.at(owner) - took - rounding);
     }
     CHECK(fleet.begunAtPrimary().size() <= Ownership::ownersPerUpstream);
     fleet.databases.promote("b");
@@ -471,20 +471,20 @@
     REQUIRE(fleet.acquire(proxy));
     fleet.run(1500ms);
     REQUIRE(fleet.acquire(proxy));
-    const auto back = support::now();
+    const auto reachableSince = support::now();
     auto isServed = false;
-    while (!isServed && support::now() - back < 10s) {
+    while (!isServed && support::now() - reachableSince < 10s) {
         const auto pending = fleet.beginAcquire(proxy, 500ms);
         owners.runWithFleet(100ms);
         isServed = !fleet.finish(pending);
     }
     CHECK(isServed);
-    CHECK(support::now() - back < 3s);
+    CHECK(support::now() - reachableSince < 3s);
 }
 
 TEST_CASE("the next owner is tried when one cannot reach the upstream")
 {
-    // The primary is cut off from one of its owners and accepts connections from the others. That owner answers a proxy's request with
+    // The primary is unreachable for one of its owners and accepts connections from the others. That owner answers a proxy's request with
     // Unreachable, which the proxy must not pass to its caller: the next owner has a connection.
     auto fleet = Fleet();
     auto ownership = Ownership(VmId("vm-10"), ZoneId("zone-a"));
@@ -520,7 +520,7 @@
 
 TEST_CASE("an owner whose view stays behind is skipped")
 {
-    // An owner that is cut off from the control group has no view with a new upstream; two other owners serve it.
+    // An owner that lost contact to the control group has no view with a new upstream; two other owners serve that upstream.
     auto fleet = Fleet();
     const auto proxy = fleet.proxyWithoutConnections();
     auto &owner = fleet.poolOf(fleet.firstOwnerFor(proxy));
