--- a/include/sapphirespool/Decisions/brownout.h
+++ b/include/sapphirespool/Decisions/brownout.h
@@ -1,4 +1,4 @@
-// brownout.h: sheds reads that accept stale data from the primary while its own work waits too long.
+// brownout.h: sheds reads from the primary that accept stale data, while writes and current reads wait too long there.
 #pragma once
 
 #include "sapphirespool/Decisions/settings.h"
@@ -13,11 +13,11 @@
 
 /// Raises its level while writes and current reads wait too long for the primary, and lowers it slowly once they no longer do.
 ///
-/// Load pattern: replicas are lost or lag, their reads move to the primary and delay bookings.
+/// Load pattern: replicas are lost or lag, their reads move to the primary and delay writes.
 /// Without it the primary serves reads that accept older data ahead of writes that no other member can serve.
 /// Reads are shed by the age that the configuration lets them accept, the greatest age first.
-/// Separate thresholds for entering and leaving, and a minimum time per step down, prevent oscillation; a level that followed
-/// the delay alone would switch on and off each time the queue empties.
+/// Separate thresholds for entering and leaving, and a minimum time per step down, prevent oscillation. A level that followed
+/// the delay alone would rise and fall each time the queue empties.
 class Brownout
 {
 public:
--- a/include/sapphirespool/Decisions/dispatcher.h
+++ b/include/sapphirespool/Decisions/dispatcher.h
@@ -21,7 +21,7 @@
 /// Identifies a piece of work within this proxy.
 using WorkId = support::StrongType<struct WorkIdTag, std::uint64_t>;
 
-/// Identifies the caller, the unit of fairness; the callers' package derives it from the request.
+/// Identifies the caller, the unit of fairness: the caller that the request names, or the id of its session if it names none.
 using CallerId = support::StrongType<struct CallerIdTag, std::string>;
 
 /// Log position that the session has observed; a read needs data at least as recent.
@@ -70,7 +70,7 @@
 /// Result of started work at its upstream.
 enum class WorkOutcome {
     Answered,
-    /// The statement was invalid; this is no sign of the upstream's health.
+    /// The statement was invalid; this does not count against the upstream's health.
     Rejected,
     /// No answer in time, or the connection was lost.
     Failed,
@@ -103,7 +103,10 @@
     std::uint32_t wanted = 0;
 };
 
-/// Admits, queues and places all work of a proxy. All calls are made on the dispatch thread; each returns the actions to take now.
+/// Admits, queues and places all work of a proxy.
+///
+/// Without it each connection would send its work to an upstream on its own, and no queue limit, fair order or slot limit would hold for
+/// the proxy as a whole. All calls are made on the dispatch thread; each returns the actions to take now.
 class Dispatcher
 {
 public:
@@ -119,7 +122,7 @@
     /// Releases the slot of started work.
     virtual auto finished(WorkId id, WorkOutcome outcome, TimePoint now) -> Actions = 0;
 
-    /// Removes work that still waits, because its caller disconnected or gave up.
+    /// Removes work that still waits, because its caller disconnected or no longer waits for the answer.
     virtual auto cancel(WorkId id, TimePoint now) -> Actions = 0;
 
     virtual auto observe(const Observation &observation, TimePoint now) -> Actions = 0;
--- a/include/sapphirespool/Decisions/fairqueue.h
+++ b/include/sapphirespool/Decisions/fairqueue.h
@@ -22,7 +22,8 @@
     CallerId caller;
 };
 
-/// Queue over flows. Depending on the discipline, a flow is a caller, a level of attained service, or all work (FIFO).
+/// Queue of waiting work, divided into flows. Depending on the discipline, a flow is a caller, a level of attained service, or all work
+/// (FIFO).
 ///
 /// Load pattern: one caller sends ten times what the others send, or one caller's statements take a hundred times longer.
 /// Without it all callers wait behind that caller's backlog.
@@ -32,8 +33,8 @@
 /// Knowledge" (Liu et al.), which takes them from Aalo. The thresholds there are absolute; under overload they put all callers
 /// into the levels below the first, which gave worse results.
 /// Start-time fair queueing, available for comparison, serves the flow with the lowest virtual time. Service times are unknown
-/// in advance, so a start is charged the mean, and the difference to the actual time is charged when the work ends. A caller's
-/// debt is therefore bounded by its running work.
+/// in advance, so a start is charged the mean, and the difference to the actual time is charged when the work ends. The service
+/// that a caller has received but not yet been charged is therefore bounded by its running work.
 class FairQueue
 {
 public:
--- a/include/sapphirespool/Decisions/forwardrouter.h
+++ b/include/sapphirespool/Decisions/forwardrouter.h
@@ -18,8 +18,8 @@
 class ForwardRouter
 {
 public:
-    /// Latency of the best replica above which reads that accept stale data may go to the primary; equal to the time for which
-    /// a read waits for a replica within one proxy.
+    /// Latency of the best replica above which reads that accept stale data may go to the primary; equal to the longest wait of
+    /// a read for a replica within one proxy (RoutingSettings::maximumReplicaWait).
     static constexpr auto spillLatency = std::chrono::milliseconds(100);
 
     /// \return the upstream for \p work, or nothing if none can serve it
--- a/include/sapphirespool/Decisions/groupscheduler.h
+++ b/include/sapphirespool/Decisions/groupscheduler.h
@@ -38,7 +38,9 @@
 /// Class of work by the upstreams that may serve it: only the primary serves the first two.
 enum class Lane : std::uint8_t {
     Write,
+    /// A read that requires current data.
     CurrentRead,
+    /// A read that accepts stale data; a replica that is fresh enough may serve it.
     TolerantRead,
 };
 
@@ -48,6 +50,7 @@
 ///
 /// submit() admits work into the queue of its lane or refuses it; waiting work starts as slots become available.
 /// Outcomes of finished work adjust service time estimates, concurrency limits and ejections of the upstreams.
+/// Each group has its own scheduler. With one queue for all groups, the backlog of a slow group would delay the work of the others.
 class GroupScheduler
 {
 public:
--- a/include/sapphirespool/Decisions/serviceestimate.h
+++ b/include/sapphirespool/Decisions/serviceestimate.h
@@ -10,6 +10,8 @@
 
 /// Moving mean and mean deviation of measured service times.
 ///
+/// Service times are unknown in advance; without an estimate, admission and routing could not predict a wait, nor ejection detect a slow
+/// upstream.
 /// By default a new value has the weights that TCP uses for its round trip time (1/8 for the mean and 1/4 for the deviation): the
 /// estimate follows a change of level within about eight answers, and a single long statement moves the mean by an eighth of the
 /// difference.
--- a/include/sapphirespool/Decisions/settings.h
+++ b/include/sapphirespool/Decisions/settings.h
@@ -66,8 +66,8 @@
     double replicaWaitFraction = 0.25;
     /// Upper bound of that wait, regardless of the deadline.
     std::chrono::milliseconds maximumReplicaWait{100};
-    /// Assumed one-way latency to another availability zone, added to the expected service time in both directions; 1 and 1.5 ms in the
-    /// deployments.
+    /// Assumed one-way latency to another availability zone, added to the expected service time in both directions; it is 1 ms or
+    /// 1.5 ms in the deployments.
     std::chrono::microseconds otherZoneLatency{1500};
 };
 
@@ -80,7 +80,7 @@
     double slowFactor = 4.0;
     /// Answers required before an upstream can be ejected as slow.
     std::uint32_t minimumSamples = 10;
-    /// Consecutive failures until ejection; with five, independent errors at a rate of 20 % eject an upstream once in 3,000 (0.2^5).
+    /// Consecutive failures until ejection; with five, independent errors at a rate of 20 % reach it once in 3,000 (0.2^5).
     std::uint32_t consecutiveFailures = 5;
     /// Duration of the first ejection; doubles up to the longest with each further one.
     std::chrono::milliseconds firstEjection{1000};
@@ -134,13 +134,15 @@
 struct BrownoutSettings
 {
     bool enabled = true;
-    /// Queueing delay of writes on the primary from which reads are shed.
+    /// Wait of writes and current reads for the primary from which reads that accept stale data are shed.
     std::chrono::milliseconds enterDelay{100};
-    /// Queueing delay below which reads are admitted again; half, so that their load does not trigger the next step at once.
+    /// Wait at or below which reads are admitted again, one level at a time; half of enterDelay, so that their load does not raise the level
+    /// again at once.
     std::chrono::milliseconds leaveDelay{50};
     /// Minimum time between two steps up.
     std::chrono::milliseconds enterStep{100};
-    /// Minimum time between two steps down; ten times as long, so that the level does not oscillate during recovery.
+    /// Time for which the wait stays at or below leaveDelay before each step down; ten times enterStep, so that the level does not
+    /// oscillate during recovery.
     std::chrono::milliseconds leaveStep{1000};
 };
 
@@ -159,7 +161,7 @@
     DependencySettings dependency;
     BrownoutSettings brownout;
     bool retryBudget = true;
-    /// Serves writes before reads that accept stale data, by weight.
+    /// Divides the primary between writes, current reads and reads that accept stale data by weight; if false, in order of arrival.
     bool classWeights = true;
     /// Until the allocator assigns a share: if true, use an equal part of each upstream, at least one slot; if false, use nothing.
     bool staticShares = true;
--- a/include/sapphirespool/Decisions/shareallocator.h
+++ b/include/sapphirespool/Decisions/shareallocator.h
@@ -1,7 +1,7 @@
 // shareallocator.h: divides an upstream's slots and connections among the proxies.
 //
-// Two proxies, chosen by rendezvous hash, each grant half of an upstream's limit as leases; every other proxy sends its demand to
-// both. The sum of what holders may use never exceeds the upstream's limit, whatever message is lost, delayed or duplicated, and
+// Two proxies, chosen by rendezvous hash, each grant half of an upstream's limit as leases; all proxies send their demands to both.
+// The sum of what holders may use never exceeds the upstream's limit, whatever message is lost, delayed or duplicated, and
 // whichever process crashes or restarts.
 #pragma once
 
@@ -67,7 +67,7 @@
     /// No statement starts under a grant with less than this time to its expiry; at least the longest timeout of a service, so that
     /// no statement outlives its grant.
     std::chrono::milliseconds startGuard{2500};
-    /// Fraction of the lifetime that a holder gives up, as clocks run at different rates.
+    /// Fraction by which a holder shortens the lifetime of its lease, as clocks run at different rates.
     double clockMargin = 0.02;
     /// Renewal interval; five renewals may be lost before startGuard stops new work.
     std::chrono::milliseconds renewalInterval{400};
@@ -103,7 +103,7 @@
     auto handleDemand(const ShareDemand &demand, TimePoint now) -> Grants;
 
     /// Sets the part that this grantor grants and the proxies that may send demands. The smaller half is granted before the end of the
-    /// handover, once each proxy has reported what it keeps and the work of its earlier processes must have ended.
+    /// handover, from startGuard after the last proxy has first reported what it keeps: by then the work of terminated processes has ended.
     /// \param handoverPart the smaller half of the upstream's limit
     auto limitChanged(Share part, Share handoverPart, std::vector<VmId> proxies, TimePoint now) -> Grants;
     auto tick(TimePoint now) -> Grants;
@@ -157,7 +157,8 @@
 
 /// Holds this proxy's lease on slots and connections of one upstream from one grantor.
 ///
-/// Sends demands when its work changes, renews the lease, and returns slots that have no work.
+/// Sends demands when its work changes, renews the lease, and returns slots that have no work. Without a lease that expires, the slots of
+/// a crashed or partitioned proxy would be lost to the others, or be used twice.
 class ShareHolder
 {
 public:
--- a/include/sapphirespool/Decisions/sharetable.h
+++ b/include/sapphirespool/Decisions/sharetable.h
@@ -34,7 +34,10 @@
     std::vector<ShareChange> changes;
 };
 
-/// Holders and grantors of one proxy, by upstream; all calls on the dispatch thread.
+/// Holders and grantors of one proxy, by upstream. All calls are made on the dispatch thread.
+///
+/// Replaces holders and grantors when the view changes, passes demands and grants between them, and adds up the shares of each upstream.
+/// Without it holders would keep sending demands to a proxy that is no longer a grantor.
 class ShareTable
 {
 public:
@@ -61,6 +64,7 @@
         std::unique_ptr<ShareGrantor> grantor;
         std::uint32_t running = 0;
         std::uint32_t wanted = 0;
+        /// Share that the dispatcher was last notified of.
         Share reported;
     };
 
--- a/include/sapphirespool/Decisions/slotguard.h
+++ b/include/sapphirespool/Decisions/slotguard.h
@@ -15,7 +15,7 @@
 
 /// Bulkheads within one database group.
 ///
-/// Load patterns: a caller sends ten times what others send; a caller's reports take a hundred times as long as bookings; writes
+/// Load patterns: a caller sends ten times what others send; a caller's reports take a hundred times as long as short statements; writes
 /// contend for one row; one of several services on the same databases becomes slow.
 /// Without it the long, blocked or slow work holds all slots, however fair the queue is, because a running statement cannot be
 /// interrupted. Service times are unknown in advance, so a caller is classified as long by its past statements.
--- a/include/sapphirespool/Decisions/statementqueue.h
+++ b/include/sapphirespool/Decisions/statementqueue.h
@@ -24,12 +24,12 @@
 };
 
 /// Orders statements by priority, then by due time (earliest deadline first). Statements that can no longer be in time are served after
-/// all that can.
+/// all that can. Statements that take no slot are served before all others.
 ///
 /// Load pattern: for seconds an upstream receives more work than it can serve: its replicas lag and it serves their reads too, a burst
-/// arrives, or all callers retry after an outage. In the upstream's own queue, or in order of arrival, each statement waits behind the
-/// whole backlog: bookings of 10 ms wait behind reads of 50 ms, and all are late by the same time, so that none meets its objective
-/// although most could. This order keeps the objectives of short-objective and high-priority services; statements that are already late
+/// arrives, or all callers retry after an outage. Without this queue, in the upstream's own queue or in order of arrival, each statement
+/// waits behind the whole backlog. Writes of 10 ms wait behind reads of 50 ms, and all are late by the same time, so that none meets its
+/// objective although most could. This order keeps the objectives of short-objective and high-priority services; statements that are already late
 /// bear the overload and get the remaining capacity. Plain earliest-deadline order fails under overload, since it prefers statements that
 /// miss their objective anyway; serving late statements last prevents that.
 class StatementQueue
--- a/include/sapphirespool/Decisions/upstreamstate.h
+++ b/include/sapphirespool/Decisions/upstreamstate.h
@@ -21,7 +21,8 @@
     explicit Ejection(EjectionSettings settings);
 
     /// Records the outcome of work. \param medianPeerTime median of the other members' mean service times; zero if unknown
-    /// \return whether the upstream should be ejected now; the caller checks the minimum number of remaining members and calls eject()
+    /// \return whether the upstream should be ejected now; the scheduler checks the minimum number of remaining members and calls
+    /// eject()
     auto record(WorkOutcome outcome, const ServiceEstimate &own, Duration medianPeerTime) -> bool;
 
     auto eject(TimePoint now) -> void;
--- a/lib/Decisions/fairqueue.cpp
+++ b/lib/Decisions/fairqueue.cpp
@@ -14,9 +14,9 @@
 
 /// Pushes between two sweeps of idle flows, in addition to one per flow; the amortized cost of a sweep per push is constant.
 constexpr std::size_t sweepInterval = 4096;
-/// Upper bound of the work served before a new entry, as a multiple of the waiting work.
+/// Factor on the number of waiting entries that accounts for later arrivals which are served first: at most as many are assumed.
 constexpr std::size_t laterArrivalFactor = 2;
-/// Slowdown of a caller above the mean: while the others use three quarters of the capacity, a quarter remains for it.
+/// Factor on the wait of a caller above the mean: the others are assumed to use three quarters of the capacity, so a quarter remains.
 constexpr std::size_t aboveMeanSlowdown = 4;
 /// Attained service, in seconds, below which the record of a caller without entries is removed.
 constexpr double minRetainedService = 0.001;
--- a/lib/Decisions/groupadmission.cpp
+++ b/lib/Decisions/groupadmission.cpp
@@ -11,7 +11,8 @@
 
 /// Retry delay while admission control, which estimates waits, is disabled.
 constexpr auto defaultRetryAfter = std::chrono::milliseconds(1000);
-/// Multiple of its equal share of the queue that a caller may hold once the queue is half full.
+/// Multiple of its equal share of the queue that a caller may hold. It is enforced once the queue is half full or the expected wait
+/// reaches unenforcedWaitFraction of the wait limit.
 constexpr std::size_t overShareFactor = 2;
 /// Fraction of the wait limit below which callers' shares of the queue are not enforced.
 constexpr auto unenforcedWaitFraction = 0.1;
@@ -19,7 +20,7 @@
 constexpr std::size_t writesPerCurrentRead = 2;
 /// Minimum fraction of the primary's starts for reads that accept stale data, from the lane weights 8, 4 and 1.
 constexpr auto minTolerantFraction = 1.0 / 13;
-/// One in this many reads is admitted during a brownout, so that no class of reads starves.
+/// One in this many reads that a brownout sheds is admitted, so that no class of reads starves.
 constexpr std::uint64_t admittedReadInterval = 10;
 
 auto scaled(Duration duration, double factor) -> Duration
@@ -76,7 +77,7 @@
     const auto *const primary = this->group.primaryMember();
     if (primary == nullptr) {
         const auto elapsed = this->primaryLostAt ? now - *this->primaryLostAt : Duration::zero();
-        // After the expected time the remaining time is unknown; half of the expected time is assumed.
+        // A promotion may take longer than expected, so at least half of the expected time is assumed to remain.
         const auto gap = std::max<Duration>(this->settings.admission.expectedPromotionTime - elapsed, this->settings.admission.expectedPromotionTime / 2);
         return {.wait = gap + service * this->entriesAheadOnPrimary(work.caller, lane, now), .spacing = service};
     }
@@ -96,7 +97,7 @@
 
 auto GroupScheduler::shedByBrownout(const Work &work, TimePoint now) -> bool
 {
-    // A replica that only has to reach the position of the session will serve the read without the primary.
+    // The read needs no primary if a replica is recent enough by age: once it has applied the session's position, it serves the read.
     auto ageOnly = work;
     ageOnly.needed.reset();
     if (this->brownout.admits(work.maxAge) || this->anyReplicaServes(ageOnly, now)) {
--- a/lib/Decisions/groupplacing.cpp
+++ b/lib/Decisions/groupplacing.cpp
@@ -60,7 +60,7 @@
     if (now < waiting.primaryAllowedAt || !this->brownout.admits(waiting.work.maxAge)) {
         return false;
     }
-    // One slot of the primary stays free for writes: a read that a replica could serve must not make a booking wait.
+    // One slot of the primary stays free for writes: a read that a replica could serve must not make a write wait.
     const auto usableSlots = primary.usableSlots(now);
     return usableSlots < 2 || primary.running + 1 < usableSlots;
 }
--- a/lib/Decisions/groupscheduler.cpp
+++ b/lib/Decisions/groupscheduler.cpp
@@ -170,7 +170,7 @@
         waiters[queued.key].push_back(id);
     } else {
         if (isKeyedWrite) {
-            // Marks the key as taken: the next write on it waits outside the lane queue, where it would be scanned in vain.
+            // Marks the key as taken: the next write on it waits outside the lane queue, where each pop() would only skip it.
             waiters[queued.key];
         }
         auto &laneQueue = this->queue(lane);
--- a/lib/Decisions/loaddispatcher.cpp
+++ b/lib/Decisions/loaddispatcher.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-/// \return whether \p reason means that the service cannot serve its work now; other reasons lie with the caller
+/// \return whether \p reason means that the service cannot serve its work now; other reasons are no sign of overload
 auto isOverload(RefusalReason reason) -> bool
 {
     switch (reason) {
@@ -85,7 +85,7 @@
     std::unordered_map<ServiceId, ServiceState> services;
     /// Scheduler of each piece of work that is waiting or running.
     std::unordered_map<WorkId, GroupScheduler *> owners;
-    /// Latest time passed by any event; nextTick() has no time parameter.
+    /// Time of the latest event, for nextTick(), which has no time parameter.
     TimePoint latestTime{};
 };
 
--- a/lib/Decisions/sharetable.cpp
+++ b/lib/Decisions/sharetable.cpp
@@ -52,7 +52,8 @@
         if (entry.holders.empty()) {
             return;
         }
-        // The holder reports the share of an earlier grantor to the new one, which charges it before it grants anything.
+        // The first holder takes over the share of an earlier grantor and reports it to its own grantor, which charges it during a handover
+        // before it grants anything.
         entry.holders.front().inherit(dropped);
     }
 }
--- a/lib/Decisions/slotguard.cpp
+++ b/lib/Decisions/slotguard.cpp
@@ -16,7 +16,8 @@
 /// Half-life of recorded usage; long enough that a burst of a few statements does not make a caller hot.
 constexpr auto usageHalfLife = std::chrono::seconds(2);
 constexpr std::uint32_t highestUseLevel = 8;
-/// Maximum number of caller records. Beyond it all are discarded and learned anew, which costs each caller one long statement.
+/// Maximum number of caller records. Beyond it all are discarded, and a caller with long statements is classified as long again only
+/// when one of them has ended.
 constexpr std::size_t maxCallerRecords = 16'384;
 
 } // namespace
--- a/unittests/Decisions/dispatchertest.cpp
+++ b/unittests/Decisions/dispatchertest.cpp
@@ -55,7 +55,7 @@
 TEST_CASE("a replica that holds entries discarded by a promotion serves no reads")
 {
     // The replica was partitioned together with the old primary and holds entries 26 and 27 of term 1, which were never
-    // acknowledged. The caller would read a booking there that no other member has, and miss it in the next read.
+    // acknowledged. The caller would read a row there that no other member has, and miss it in the next read.
     auto fixture = Fixture();
     fixture.cluster.groups.front().term = Term(2);
     fixture.cluster.groups.front().history = {{Term(1), LogPosition(0)}, {Term(2), LogPosition(25)}};
@@ -85,8 +85,8 @@
 
 TEST_CASE("work that runs while its upstream leaves the view and returns still holds its slot")
 {
-    // Health reports of the primary are lost for a short time while a booking runs there. The view removes the primary and adds
-    // it again; then the booking ends. Other work must not get its slot before that.
+    // Health reports of the primary are lost for a short time while a write runs there. The view removes the primary and adds
+    // it again; then the write ends. Other work must not get its slot before that.
     auto fixture = Fixture({}, 1);
     const auto whole = fixture.cluster;
     CHECK(startedOn(fixture.write()) == "p");
--- a/unittests/Decisions/fixture.h
+++ b/unittests/Decisions/fixture.h
@@ -1,4 +1,4 @@
-// fixture.h: a small cluster and a dispatcher to drive by hand.
+// fixture.h: a small cluster and a dispatcher that a test drives event by event.
 #pragma once
 
 #include "sapphirespool/Decisions/factory.h"
--- a/unittests/Decisions/loadtest.cpp
+++ b/unittests/Decisions/loadtest.cpp
@@ -149,7 +149,7 @@
 TEST_CASE("writes on one key run one at a time and leave the other slots to other work")
 {
     // Two writes change one row. The second would occupy a slot of the primary only to wait for the row lock, and a third caller's
-    // booking would wait behind it.
+    // write would wait behind it.
     auto fixture = Fixture();
     auto first = fixture.work(Access::Write, "a");
     auto second = fixture.work(Access::Write, "b");
@@ -164,7 +164,7 @@
     CHECK(std::get<Start>(actions.front()).id == second.id);
 }
 
-TEST_CASE("a replica ten times slower than its peers is ejected and readmitted with a slow start, and the last ones stay")
+TEST_CASE("a replica 20 times slower than its peer is ejected and later readmitted, and its peer stays")
 {
     auto fixture = Fixture({}, 1);
     const auto runRound = [&fixture](milliseconds slow, milliseconds fast) {
@@ -192,7 +192,7 @@
     CHECK(startedOn(fixture.tolerant(milliseconds(5000))) == "r1");
 }
 
-TEST_CASE("two slow replicas are not both ejected")
+TEST_CASE("two failing replicas are not both ejected")
 {
     // A fault common to both, such as a full disk that they share, would otherwise send all their reads to the primary.
     auto fixture = Fixture({}, 1);
--- a/unittests/Decisions/statementqueuetest.cpp
+++ b/unittests/Decisions/statementqueuetest.cpp
@@ -47,7 +47,7 @@
 
 constexpr auto slots = std::size_t{6};
 
-/// Simulates an upstream with six slots and its arrivals: short urgent writes, reads, and long reads with a long objective.
+/// Simulates an upstream with six slots and the statements that arrive at it.
 class Upstream
 {
 public:
@@ -147,7 +147,7 @@
     std::vector<Outcome> outcomes;
 };
 
-/// Short writes with a short objective, reads, and long reads with a long objective; together they occupy 5.9 slots at a load of 1.
+/// Short writes with a short objective, reads, and long reads with a long objective; together they occupy 5.97 slots at a load of 1.
 auto mixedCallers() -> std::vector<CallerKind>
 {
     return {{33, 11ms, 200ms, 500ms, 1}, {115, 33ms, 400ms, 500ms, 2}, {33, 55ms, 800ms, 1500ms, 2}};
@@ -197,8 +197,8 @@
 TEST_CASE("load: both replicas lag, and the primary receives a third more work than its capacity")
 {
     // For six seconds all reads of the group go to its primary. In order of arrival each statement waits behind the whole backlog: the
-    // bookings, a twentieth of the work, are late or time out. In the queue's order they are served as without overload, and the reads
-    // bear the overload: only the work in excess of the capacity is late.
+    // writes, 6 % of the work, are late or time out. In the queue's order they are served as without overload, and the reads bear the
+    // overload: only the work in excess of the capacity is late.
     const auto byArrival = Upstream(Order::Arrival).run(mixedCallers(), 1.3);
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 1.3);
     CHECK(byArrival[0].partInTime() < 0.6);
