--- a/unittests/Decisions/loadtest.cpp
+++ b/unittests/Decisions/loadtest.cpp
@@ -59,12 +59,12 @@
         fixture.write("new" + std::to_string(fixture.lastId), milliseconds(100));
     }
     CHECK_FALSE(refusal(fixture.write(refusedCaller, milliseconds(100))));
-    const auto returned = fixture.lastId;
+    const auto retryId = fixture.lastId;
     const auto deadline = fixture.now + milliseconds(100);
-    while (runningId != returned && fixture.now < deadline) {
+    while (runningId != retryId && fixture.now < deadline) {
         serveOne();
     }
-    CHECK(runningId == returned);
+    CHECK(runningId == retryId);
     CHECK(fixture.now + milliseconds(10) <= deadline);
 }
 
--- a/unittests/Decisions/shareallocatortest.cpp
+++ b/unittests/Decisions/shareallocatortest.cpp
@@ -64,7 +64,7 @@
         this->isolatedProxy = proxy;
     }
 
-    auto restartGrantor(bool quarantine) -> void
+    auto restartGrantor(bool withHandover) -> void
     {
         ++this->grantorProcesses;
         const auto limit = Share{limitSlots, limitConnections};
@@ -72,7 +72,7 @@
         for (auto index = 0; index < proxyCount; ++index) {
             names.emplace_back("p" + std::to_string(index));
         }
-        const auto start = quarantine ? this->now : this->now - this->settings.handover;
+        const auto start = withHandover ? this->now : this->now - this->settings.handover;
         this->grantor = std::make_unique<ShareGrantor>(this->grantorId(), UpstreamId("u"), this->settings, start);
         this->send(this->grantor->limitChanged(limit, limit, std::move(names), this->now));
     }
--- a/unittests/Decisions/statementqueuetest.cpp
+++ b/unittests/Decisions/statementqueuetest.cpp
@@ -29,14 +29,14 @@
 
 struct Outcome
 {
-    std::size_t asked = 0;
+    std::size_t arrived = 0;
     std::size_t inTime = 0;
     std::size_t served = 0;
-    std::size_t refusedAtOnce = 0;
+    std::size_t refusedOnArrival = 0;
 
-    [[nodiscard]] auto partInTime() const -> double
+    [[nodiscard]] auto fractionInTime() const -> double
     {
-        return static_cast<double>(this->inTime) / static_cast<double>(this->asked);
+        return static_cast<double>(this->inTime) / static_cast<double>(this->arrived);
     }
 };
 
@@ -89,11 +89,11 @@
 
     auto arrive(const CallerKind &kind, std::size_t number, TimePoint now) -> void
     {
-        ++this->outcomes[number].asked;
+        ++this->outcomes[number].arrived;
         this->expire(now);
         const auto urgency = QueuedStatement{kind.priority, now + kind.objective, true};
         if (this->order == Order::Queue && this->queue.isFullFor(urgency, now, this->queue.expectedWait(urgency, now, 30ms, slots))) {
-            ++this->outcomes[number].refusedAtOnce;
+            ++this->outcomes[number].refusedOnArrival;
             return;
         }
         // For order of arrival all statements have the same rank, so that their ticket numbers decide.
@@ -163,13 +163,13 @@
 TEST_CASE("statements with higher priority, then those due sooner, are served first")
 {
     auto queue = StatementQueue();
-    const auto patient = ticketOf(queue, 2, 800ms);
-    const auto sooner = ticketOf(queue, 2, 400ms);
+    const auto dueLater = ticketOf(queue, 2, 800ms);
+    const auto dueSooner = ticketOf(queue, 2, 400ms);
     const auto urgent = ticketOf(queue, 1, 900ms);
     CHECK(queue.ahead({2, TimePoint{} + 500ms, true}, TimePoint{}, 10ms) == 2);
     CHECK(queue.pop(TimePoint{}, 10ms, true) == urgent);
-    CHECK(queue.pop(TimePoint{}, 10ms, true) == sooner);
-    CHECK(queue.pop(TimePoint{}, 10ms, true) == patient);
+    CHECK(queue.pop(TimePoint{}, 10ms, true) == dueSooner);
+    CHECK(queue.pop(TimePoint{}, 10ms, true) == dueLater);
     CHECK_FALSE(queue.pop(TimePoint{}, 10ms, true));
 }
 
@@ -201,9 +201,9 @@
     // overload: only the work in excess of the capacity is late.
     const auto byArrival = Upstream(Order::Arrival).run(mixedCallers(), 1.3);
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 1.3);
-    CHECK(byArrival[0].partInTime() < 0.6);
-    CHECK(byQueue[0].partInTime() > 0.99);
-    CHECK(byQueue[1].partInTime() > byArrival[1].partInTime() + 0.2);
+    CHECK(byArrival[0].fractionInTime() < 0.6);
+    CHECK(byQueue[0].fractionInTime() > 0.99);
+    CHECK(byQueue[1].fractionInTime() > byArrival[1].fractionInTime() + 0.2);
 }
 
 TEST_CASE("load: a burst of three times the capacity for six seconds, and the time after it")
@@ -212,7 +212,7 @@
     // can still be in time.
     const auto byArrival = Upstream(Order::Arrival).run(mixedCallers(), 3.0);
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 3.0);
-    CHECK(byQueue[0].partInTime() > 0.95);
+    CHECK(byQueue[0].fractionInTime() > 0.95);
     CHECK(byQueue[0].inTime + byQueue[1].inTime + byQueue[2].inTime > byArrival[0].inTime + byArrival[1].inTime + byArrival[2].inTime);
 }
 
@@ -222,15 +222,15 @@
     // Nearly all of these are refused on arrival, and nearly all admitted reads are in time.
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 3.0);
     const auto &reads = byQueue[1];
-    CHECK(reads.refusedAtOnce > reads.asked / 4);
-    CHECK(static_cast<double>(reads.inTime) > 0.9 * static_cast<double>(reads.asked - reads.refusedAtOnce));
+    CHECK(reads.refusedOnArrival > reads.arrived / 4);
+    CHECK(static_cast<double>(reads.inTime) > 0.9 * static_cast<double>(reads.arrived - reads.refusedOnArrival));
 }
 
 TEST_CASE("load: without overload all classes of callers meet their objective")
 {
     const auto byQueue = Upstream(Order::Queue).run(mixedCallers(), 0.7);
     for (const auto &outcome : byQueue) {
-        CHECK(outcome.partInTime() > 0.99);
+        CHECK(outcome.fractionInTime() > 0.99);
     }
 }
 
