--- a/include/sapphirespool/Decisions/dispatcher.h
+++ b/include/sapphirespool/Decisions/dispatcher.h
@@ -105,8 +105,8 @@
 
 /// Admits, queues and places all work of a proxy.
 ///
-/// Without it each connection would send its work to an upstream on its own, and no queue limit, fair order or slot limit would hold for
-/// the proxy as a whole. All calls are made on the dispatch thread; each returns the actions to take now.
+/// Without it each connection would send its work to an upstream on its own. No queue limit, fair order or slot limit would hold for the
+/// proxy as a whole. All calls are made on the dispatch thread; each returns the actions to take now.
 class Dispatcher
 {
 public:
--- a/include/sapphirespool/Decisions/fairqueue.h
+++ b/include/sapphirespool/Decisions/fairqueue.h
@@ -27,8 +27,8 @@
 ///
 /// Load pattern: one caller sends ten times what the others send, or one caller's statements take a hundred times longer.
 /// Without it all callers wait behind that caller's backlog.
-/// The default discipline uses levels relative to the mean caller: callers with similar usage are served in order of arrival,
-/// and callers above three times the mean come after them, in levels whose thresholds and weights are spaced by a factor of ten.
+/// The default discipline uses levels relative to the mean caller: callers with similar usage are served in order of arrival.
+/// Callers above three times the mean come after them, in levels whose thresholds and weights are spaced by a factor of ten.
 /// Levels of attained service with exponentially spaced thresholds come from "Bottleneck-Aware Coflow Scheduling Without Prior
 /// Knowledge" (Liu et al.), which takes them from Aalo. The thresholds there are absolute; under overload they put all callers
 /// into the levels below the first, which gave worse results.
--- a/include/sapphirespool/Decisions/shareallocator.h
+++ b/include/sapphirespool/Decisions/shareallocator.h
@@ -87,8 +87,8 @@
 /// Without it each proxy has a static part of less than one slot: either slots are idle while work waits at another proxy, or all
 /// proxies use one slot and the upstream exceeds its limit.
 /// Invariant: the sum of what proxies may use is within the limit. A proxy is charged the maximum of all grants that it can still
-/// accept, until it reports in a newer demand that it keeps less, or until the grant expires by the grantor's clock. The holder's
-/// lease expires earlier, since it counts the lifetime from the time at which it sent the demand.
+/// accept. The charge falls when a newer demand reports that the proxy keeps less, or when the grant expires by the grantor's clock.
+/// The holder's lease expires earlier, since it counts the lifetime from the time at which it sent the demand.
 class ShareGrantor
 {
 public:
--- a/lib/Decisions/groupplacing.cpp
+++ b/lib/Decisions/groupplacing.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Weights of the lanes on the primary. Writes are preferred to reads, and reads that accept stale data come last, but each lane
+/// Weights of the lanes on the primary. Writes are preferred to reads, and reads that accept stale data come last. Each lane still
 /// gets at least a thirteenth of the slots while it has waiting work, so none starves.
 constexpr auto laneWeights = std::to_array<double>({8, 4, 1});
 /// Smoothing weight; the average follows a change of the load within about 64 starts.
--- a/lib/Decisions/sharegrantor.cpp
+++ b/lib/Decisions/sharegrantor.cpp
@@ -38,8 +38,8 @@
     if (now >= this->handoverEnd) {
         return this->part;
     }
-    // The other grantor may have granted the larger half before, and its grants may not have expired, so until the end of the handover
-    // only the smaller half is granted.
+    // The other grantor may have granted the larger half before, and its grants may not have expired. Until the end of the handover only
+    // the smaller half is granted.
     return this->withholdsGrants(now) ? Share() : this->handoverPart;
 }
 
