--- a/include/sapphirespool/Decisions/fairqueue.h
+++ b/include/sapphirespool/Decisions/fairqueue.h
@@ -22,18 +22,19 @@
     CallerId caller;
 };
 
-/// Queue over flows. Depending on the discipline, a flow is a caller, a level of attained service, or all work (FIFO).
+/// Queue of waiting work, divided into flows. Depending on the discipline, a flow is a caller, a level of attained service, or all work
+/// (FIFO).
 ///
 /// Load pattern: one caller sends ten times what the others send, or one caller's statements take a hundred times longer.
 /// Without it all callers wait behind that caller's backlog.
-/// The default discipline uses levels relative to the mean caller: callers with similar usage are served in order of arrival,
-/// and callers above three times the mean come after them, in levels whose thresholds and weights are spaced by a factor of ten.
+/// The default discipline uses levels relative to the mean caller: callers with similar usage are served in order of arrival.
+/// Callers above three times the mean come after them, in levels whose thresholds and weights are spaced by a factor of ten.
 /// Levels of attained service with exponentially spaced thresholds come from "Bottleneck-Aware Coflow Scheduling Without Prior
 /// Knowledge" (Liu et al.), which takes them from Aalo. The thresholds there are absolute; under overload they put all callers
 /// into the levels below the first, which gave worse results.
 /// Start-time fair queueing, available for comparison, serves the flow with the lowest virtual time. Service times are unknown
-/// in advance, so a start is charged the mean, and the difference to the actual time is charged when the work ends. A caller's
-/// debt is therefore bounded by its running work.
+/// in advance, so a start is charged the mean, and the difference to the actual time is charged when the work ends. The service
+/// that a caller has received but not yet been charged is therefore bounded by its running work.
 class FairQueue
 {
 public:
