--- a/include/sapphirespool/State/clusterstate.h
+++ b/include/sapphirespool/State/clusterstate.h
@@ -1,4 +1,4 @@
-// clusterstate.h: the replicated state of the system.
+// clusterstate.h: the state machine that the control VMs replicate through the consensus log.
 #pragma once
 
 #include "sapphirespool/Consensus/statemachine.h"
@@ -16,18 +16,21 @@
 namespace sapphirespool::state
 {
 
-/// Configuration, database groups and VMs. Lives on the control thread.
+/// Replicated state machine that holds the configuration, the database groups and the VMs.
+///
+/// It applies the committed commands in log order, so that all control VMs hold equal states, and builds an immutable view after each
+/// change that readers can see. It is used on the control thread only.
 class ClusterState : public consensus::StateMachine
 {
 public:
-    /// Changes whose ids are remembered, the newest ones.
+    /// Number of configuration changes, the newest ones, whose ids and results are kept to deduplicate resent changes.
     ///
-    /// The controller lets through at most controller::changesPerSecond changes, so an id is remembered for at least 54 minutes; clients
-    /// resend for 10 at most. An id that was forgotten all the same meets a base that has passed and gets a conflict: it is never
-    /// accepted twice. 65,536 ids of the longest kind take 11 MB.
+    /// The controller admits at most controller::changesPerSecond changes, so an id is kept for at least 54 minutes; clients resend for
+    /// 10 minutes at most. A change that is resent after its id was evicted names an outdated base and gets a conflict, so it is never
+    /// accepted twice. 65,536 ids of the maximum length take 11 MB.
     static constexpr auto rememberedChanges = std::size_t{65'536};
-    /// Terms of a group whose starts are kept. A position of an older term is judged by the oldest start that is left, which at worst
-    /// sends a read to the primary.
+    /// Number of terms of a group, the newest ones, whose start positions are kept. A position of an older term is compared with the
+    /// oldest start that is kept, which at worst routes a read to the primary.
     static constexpr auto rememberedTerms = std::size_t{256};
 
     ClusterState();
@@ -37,20 +40,21 @@
     [[nodiscard]] auto snapshot() const -> consensus::Bytes override;
     auto restore(std::span<const std::byte> snapshot) -> void override;
 
-    /// Applies a decoded command.
+    /// Applies a decoded command; apply() decodes and calls it.
     auto execute(const Command &command) -> Result;
 
-    /// \return the newest view, never null
+    /// \return the view of the latest revision, never null
     [[nodiscard]] auto view() const -> std::shared_ptr<const membership::ClusterView>;
 
-    /// Has \p listener called after each change of view(). One listener; an empty one removes it.
+    /// Registers \p listener, which is called each time view() is rebuilt. It replaces the previous listener; an empty one removes it.
     auto onChange(std::function<void()> listener) -> void;
 
+    /// \return the text of the configuration in force, as the operators sent it
     [[nodiscard]] auto text() const -> const std::string &;
 
-    /// \return all groups that a configuration ever named, ordered by name
+    /// \return all groups that any configuration has named, also those that the current one omits, ordered by id
     [[nodiscard]] auto groups() const -> std::span<const GroupRecord>;
-    /// \return the newest grant of the right to order promotions; it is not part of the view
+    /// \return the latest grant of the right to order promotions; it is not part of the view
     [[nodiscard]] auto promotionDuty() const -> const DutyGrant &;
     [[nodiscard]] auto findGroup(const GroupId &group) const -> const GroupRecord *;
 
@@ -69,8 +73,9 @@
     auto adopt(const ChangeConfiguration &command) -> void;
     auto remember(const ChangeConfiguration &command, const Result &result) -> void;
     auto group(const GroupId &id) -> GroupRecord *;
-    /// Counts a change and builds the view that shows it.
+    /// Increments the revision and rebuilds the view.
     auto changed() -> Applied;
+    /// Builds the view, which lists only groups that a service names, and notifies the listener.
     auto buildView() -> void;
 
     StateContent content;
--- a/include/sapphirespool/State/commands.h
+++ b/include/sapphirespool/State/commands.h
@@ -1,7 +1,7 @@
-// commands.h: the changes that the replicated state accepts, and what they give.
+// commands.h: the commands of the replicated state machine and their results.
 //
-// A command names the state that its proposer saw. One that comes after another command changed that state does nothing, so that
-// commands of a former leader and repeated ones are harmless.
+// A command that depends on earlier state names the state that its proposer saw: a compare-and-set. It has no effect if another command
+// has changed that state in between, so stale commands of a former leader and repeated commands are harmless.
 #pragma once
 
 #include "sapphirespool/Configuration/configuration.h"
@@ -18,33 +18,34 @@
 namespace sapphirespool::state
 {
 
-/// Replaces the operators' text. The proposer has checked it: VMs of different versions would else disagree on what is valid.
+/// Replaces the configuration. The proposer validates and parses the text before it proposes the command: if each VM did so when it applies
+/// the command, VMs of different versions could disagree on what is valid and their states would diverge.
 struct ChangeConfiguration
 {
     ChangeId change;
     Revision base;
     std::string text;
-    /// What \a text says.
+    /// Parsed form of \a text.
     configuration::Configuration content;
 };
 
-/// Adds a member to its group or replaces what is known of it.
+/// Adds a member to its group or updates its record.
 struct RegisterUpstream
 {
     GroupId group;
     membership::UpstreamView upstream;
 };
 
-/// Ends the term of a group; from now on it has no primary.
+/// Starts the next term of a group. The group has no primary until ChoosePrimary names one for the new term.
 struct BeginTerm
 {
     GroupId group;
-    /// Term that the proposer saw.
+    /// Term that the proposer saw; the command is ignored if the group has left it.
     Term previous;
     Term next;
 };
 
-/// Makes a member the primary of a term that has none.
+/// Makes a member the primary of a term that has none yet.
 struct ChoosePrimary
 {
     GroupId group;
@@ -54,13 +55,13 @@
     LogPosition keptUpTo;
 };
 
-/// Adds a VM with the proxy role or replaces what is known of it.
+/// Adds a VM with the proxy role or updates its record.
 struct RegisterVm
 {
     membership::ProxyView vm;
 };
 
-/// Removes a member that has left its group for good.
+/// Removes a member that has left its group permanently.
 struct ForgetUpstream
 {
     GroupId group;
@@ -68,38 +69,39 @@
     Incarnation incarnation;
 };
 
-/// Removes a VM that has been silent for long.
+/// Removes a VM that has been unresponsive for a long time.
 struct ForgetVm
 {
     VmId vm;
     Incarnation incarnation;
 };
 
-/// Grants the right to order promotions to a control VM. For how long: see controller::PromotionDuty.
+/// Grants a control VM the right to order promotions. controller::PromotionDuty determines how long the grant is valid.
 struct GrantDuty
 {
     VmId holder;
-    /// Number of the leadership for which it is granted.
+    /// Number of the leadership for which the right is granted.
     std::uint64_t leadership = 0;
-    /// Number of the grant that the proposer saw.
+    /// Number of the latest grant that the proposer saw; the command is ignored if another grant has followed it.
     std::uint64_t previous = 0;
 };
 
 using Command = std::variant<ChangeConfiguration, RegisterUpstream, BeginTerm, ChoosePrimary, RegisterVm, ForgetVm, ForgetUpstream, GrantDuty>;
 
-/// The text is the configuration of this revision, or was when the change was first sent.
+/// The change was accepted. The revision is that of the resulting configuration; a resent change gets the revision of its first result, and
+/// a versioned change that a higher or equal version preceded gets the current revision.
 struct Accepted
 {
     Revision revision;
 };
 
-/// Another text was accepted on the same base, or the base has not been reached.
+/// The base of the change is not the current revision: another change was accepted on it, or it has not been reached yet.
 struct Conflict
 {
     Revision current;
 };
 
-/// The change id was used for another text.
+/// The change id was used before with another text or base.
 struct ChangeIdReused
 {
 };
@@ -109,7 +111,7 @@
 {
 };
 
-/// The command does not fit the state any more, or changes nothing.
+/// The command had no effect: it is stale, names something unknown, exceeds the group size, changes nothing or could not be decoded.
 struct Ignored
 {
 };
@@ -119,10 +121,10 @@
 [[nodiscard]] auto encode(const Command &command) -> consensus::Bytes;
 [[nodiscard]] auto encode(const Result &result) -> consensus::Bytes;
 
-/// \return the command, or nothing if the bytes are none
+/// \return the command, or nothing if \p bytes are not a valid command
 [[nodiscard]] auto decodeCommand(std::span<const std::byte> bytes) -> std::optional<Command>;
 
-/// \return the result, or nothing if the bytes are none
+/// \return the result, or nothing if \p bytes are not a valid result
 [[nodiscard]] auto decodeResult(std::span<const std::byte> bytes) -> std::optional<Result>;
 
 } // namespace sapphirespool::state
--- a/include/sapphirespool/State/records.h
+++ b/include/sapphirespool/State/records.h
@@ -1,4 +1,4 @@
-// records.h: what the replicated state holds.
+// records.h: the records of the replicated state and its snapshot.
 #pragma once
 
 #include "sapphirespool/Membership/clusterview.h"
@@ -18,44 +18,50 @@
 namespace sapphirespool::state
 {
 
-/// A database group. It outlives its services: a term, once used, must never be used again.
+/// State of a database group. It is kept after the last service of the group leaves the configuration, because a term must never be
+/// reused.
 struct GroupRecord
 {
     membership::GroupView view;
-    /// Members that the group has, whether or not all of them have announced themselves.
+    /// Configured number of members, which may exceed the number that have registered.
     std::uint32_t size = configuration::usualGroupSize;
-    /// As the configuration says.
+    /// Copied from the configuration; see configuration::GroupConfiguration.
     bool selfReplicating = false;
+    /// Copied from the configuration: replicas that must confirm a write of a self-replicating group.
     std::uint32_t confirmations = 0;
-    /// Process of the primary when it was chosen. A restart ends the term: a member that comes back with less than it answered would
-    /// give positions of the term to other writes, and their confirmation would be taken for one of the lost writes.
+    /// Incarnation of the primary's process when it was chosen. A restart of the primary ends the term: if it restarted without some of
+    /// the writes that it acknowledged, it would assign their positions in the term to other writes, and a confirmation of the new writes
+    /// would be taken for a confirmation of the lost ones.
     Incarnation primaryIncarnation;
 
-    /// \return how many members must be fenced before the group has a new primary: each two members, as many as confirm a write, are met
+    /// \return how many members must be fenced before the group may get a new primary. Such a quorum intersects each set of members that
+    /// suffices to acknowledge a write (two members of a group of three).
     [[nodiscard]] auto quorum() const -> std::uint32_t;
 };
 
-/// Who may order promotions. Whether the grant still holds depends on when it was proposed and seen; see controller::PromotionDuty.
+/// Right of a control VM to order promotions. Whether the grant is still valid depends on when it was proposed and observed; see
+/// controller::PromotionDuty.
 struct DutyGrant
 {
     VmId holder;
     /// Number of the leadership for which it was granted.
     std::uint64_t leadership = 0;
-    /// Rises with each grant; 0 before the first one.
+    /// Increases with each grant; 0 before the first one.
     std::uint64_t number = 0;
 };
 
-/// First answer to a change of the configuration.
+/// Result of a configuration change when it was first applied.
 struct ChangeRecord
 {
     ChangeId id;
     Revision base;
-    /// Hash of the text, so that the id is not taken for another one.
+    /// Hash of the text, which detects a reuse of the id for another text.
     std::uint64_t digest = 0;
     Result result;
 };
 
-/// The newest changes by their ids.
+/// Results of the newest configuration changes, by change id. It makes changes idempotent: an operator that lost the response resends the
+/// change and gets its first result instead of a conflict with itself.
 class ChangeLog
 {
 public:
@@ -63,7 +69,7 @@
 
     [[nodiscard]] auto find(const ChangeId &id) const -> const ChangeRecord *;
 
-    /// Adds \p record and forgets the oldest one beyond the limit.
+    /// Adds \p record and evicts the oldest one if the limit is exceeded.
     auto add(ChangeRecord record) -> void;
 
     /// \return the records, oldest first
@@ -72,19 +78,22 @@
 private:
     std::size_t limit;
     std::deque<ChangeRecord> ordered;
-    /// Number of each record since the first one.
+    /// Sequence number of each record, counted from the first one ever added.
     std::unordered_map<ChangeId, std::uint64_t> places;
+    /// Number of evicted records, which is the sequence number of the oldest record in \a ordered.
     std::uint64_t forgotten = 0;
 };
 
-/// Everything that a snapshot carries.
+/// The whole replicated state; a snapshot contains exactly this.
 struct StateContent
 {
     explicit StateContent(std::size_t changeLimit);
 
+    /// Revision of the view: increases with each change of the state that the view is built from, so not with promotion grants.
     Revision revision;
+    /// Revision of the configuration: increases each time a new configuration takes effect.
     Revision configuration;
-    /// Number of the text, if the operators number their texts; 0 before the first one.
+    /// Highest version among the configurations that carry an operator's version; 0 before the first one.
     ConfigurationVersion version;
     std::string text;
     support::SharedList<membership::ServiceView> services;
@@ -94,10 +103,10 @@
     ChangeLog changes;
 };
 
-/// Equal contents give equal bytes.
+/// Encodes a snapshot. The encoding is deterministic: equal contents give equal bytes.
 [[nodiscard]] auto encode(const StateContent &content) -> consensus::Bytes;
 
-/// \throws std::runtime_error if the bytes are no snapshot
+/// \throws std::runtime_error if \p bytes are not a valid snapshot
 [[nodiscard]] auto decodeContent(std::span<const std::byte> bytes, std::size_t changeLimit) -> StateContent;
 
 } // namespace sapphirespool::state
--- a/lib/State/changelog.cpp
+++ b/lib/State/changelog.cpp
@@ -8,8 +8,8 @@
 auto GroupRecord::quorum() const -> std::uint32_t
 {
     if (this->selfReplicating) {
-        // Each acknowledged write is on the primary and on as many replicas as confirm. So many members meet each such set; without
-        // confirmations none but the primary is sure to have it, and whoever is left goes on.
+        // An acknowledged write is on the primary and on as many replicas as must confirm it. A quorum of this size intersects each such
+        // set. Without confirmations only the primary is certain to have the write, so any one remaining member suffices.
         return this->confirmations == 0 || this->confirmations >= this->size ? 1 : this->size - this->confirmations;
     }
     return this->size / 2 + 1;
--- a/lib/State/clusterstate.cpp
+++ b/lib/State/clusterstate.cpp
@@ -27,7 +27,9 @@
         && left.leaving == right.leaving && left.silent == right.silent;
 }
 
-/// \return the place of the element named \p id in elements ordered by name, or the place where it belongs
+/// \param elements sorted by id
+/// \param name returns the id of an element
+/// \return the element with id \p id, or the position where it would be inserted
 template <typename Elements, typename Id, typename Name>
 auto placeOf(Elements &elements, const Id &id, Name name)
 {
@@ -59,7 +61,7 @@
     record.view.connectionLimit = group.connectionLimit;
 }
 
-/// \return the services in the order of views, so that all views share one list
+/// \return the services sorted by id, as views list them, so that all views share one list
 auto orderedById(std::vector<membership::ServiceView> services) -> support::SharedList<membership::ServiceView>
 {
     std::sort(services.begin(), services.end(), [](const membership::ServiceView &left, const membership::ServiceView &right) {
@@ -145,8 +147,8 @@
     if (command.content.version) {
         return this->replace(command);
     }
-    // An operator who lost the answer sends the change again. Judged anew it would meet the base that it itself has changed and be
-    // called a conflict, and the operator would apply it a second time on the new base. The first answer is kept by change id.
+    // An operator who lost the response resends the change. Evaluated again, the change would conflict with the revision that it
+    // produced itself, and the operator would apply it a second time on the new base. Return the first result, kept by change id.
     if (const auto *const known = this->content.changes.find(command.change)) {
         const auto same = known->base == command.base && known->digest == digestOf(command.text);
         return same ? known->result : Result(ChangeIdReused());
@@ -158,9 +160,9 @@
 
 auto ClusterState::replace(const ChangeConfiguration &command) -> Result
 {
-    // Two operators may give one number to different texts, and an older text may be sent again. Only a higher number changes what is
-    // in force, so that it neither goes back nor depends on which copy came last. A text that was overtaken counts as accepted: its
-    // operator need not send it again.
+    // Two operators may give the same version to different texts, and an older text may be resent. Only a higher version replaces the
+    // configuration, so that it never goes back and doesn't depend on which copy arrives last. A text with a lower or equal version
+    // counts as accepted, because its operator need not resend it.
     if (*command.content.version > this->content.version) {
         this->content.version = *command.content.version;
         this->adopt(command);
@@ -198,7 +200,8 @@
 
 auto ClusterState::remember(const ChangeConfiguration &command, const Result &result) -> void
 {
-    // A conflict on a base that has passed is a conflict for ever, since revisions only rise; it needs no memory.
+    // Revisions only increase, so a change on an outdated base conflicts whenever it is evaluated; its result need not be kept. A conflict
+    // on a base that has not been reached yet must be kept, or the resent change could be accepted later.
     const auto *const conflict = std::get_if<Conflict>(&result);
     if (conflict == nullptr || command.base > conflict->current) {
         this->content.changes.add({command.change, command.base, digestOf(command.text), result});
@@ -220,7 +223,8 @@
         *place = command.upstream;
         return this->changed();
     }
-    // A member beyond the size would not be met by every quorum, and an acknowledged write on it and one other could be lost.
+    // With more members than the configured size, a quorum might not intersect the set of members that acknowledged a write: a write that
+    // is only on the extra member and one other could be lost.
     if (members.size() >= record->size && !record->selfReplicating) {
         return Ignored();
     }
@@ -243,8 +247,8 @@
 auto ClusterState::run(const ChoosePrimary &command) -> Result
 {
     auto *const record = this->group(command.group);
-    // Two control leaders in a row may fence different majorities of one term and choose differently. Only the first choice of a
-    // term counts, and only the member that it names is promoted: so a term never has two primaries.
+    // Two successive control leaders may fence different majorities in the same term and choose different primaries. Only the first
+    // choice committed for a term takes effect, and only the member that it names is promoted, so a term never has two primaries.
     if (record == nullptr || record->view.term != command.term || record->view.primary || record->view.findMember(command.primary) == nullptr) {
         return Ignored();
     }
@@ -260,7 +264,7 @@
 
 auto ClusterState::run(const GrantDuty &command) -> Result
 {
-    // A proposal of a former leader that is committed late names a grant that another one has followed.
+    // A proposal of a former leader that is committed late names a grant that has been superseded.
     auto &duty = this->content.duty;
     if (command.previous != duty.number || command.leadership < duty.leadership) {
         return Ignored();
--- a/lib/State/commandcodec.cpp
+++ b/lib/State/commandcodec.cpp
@@ -14,12 +14,13 @@
 namespace
 {
 
-/// A command from this size on is compressed: a text of thousands of services would else hold up the heartbeats between control VMs, which
-/// go over the same connections.
+/// Size in bytes from which a command is compressed. Uncompressed, a configuration of thousands of services would delay the heartbeats
+/// between control VMs, which share the connections.
 constexpr auto compressedFrom = std::size_t{4'096};
-/// Bytes that a command may take once unpacked: several times what a text of 10,000 services needs.
+/// Limit in bytes on a decompressed command: several times what a configuration of 10,000 services needs.
 constexpr auto unpackedLimit = std::size_t{64} * 1024 * 1024;
 
+/// Visitor that writes each kind of command to its Cap'n Proto form.
 struct CommandWriter
 {
     schema::Command::Builder to;
@@ -140,7 +141,7 @@
     case schema::Command::FORGET_VM:
         return ForgetVm{VmId(read(from.getForgetVm().getVm())), Incarnation(from.getForgetVm().getIncarnation())};
     case schema::Command::COMPRESSED:
-        // A message within a message within a message would cost its reader the square of its size.
+        // Nested compression is rejected: decoding it would cost time quadratic in the message size.
         return std::nullopt;
     case schema::Command::FORGET_UPSTREAM:
         return ForgetUpstream{GroupId(read(from.getForgetUpstream().getGroup())),
@@ -152,7 +153,8 @@
     return std::nullopt;
 }
 
-/// Runs \p readRoot on the message in \p bytes; bytes that are no message give nothing.
+/// Runs \p readRoot on the Cap'n Proto message in \p bytes.
+/// \return the value, or nothing if \p bytes are not a valid message
 template <typename Value, typename ReadRoot>
 auto decode(std::span<const std::byte> bytes, ReadRoot readRoot) -> std::optional<Value>
 {
--- a/lib/State/recordcodec.h
+++ b/lib/State/recordcodec.h
@@ -1,4 +1,4 @@
-// recordcodec.h: Cap'n Proto forms of the records that commands and snapshots share.
+// recordcodec.h: Cap'n Proto encoding of the records that commands and snapshots share.
 #pragma once
 
 #include "sapphirespool/Configuration/configuration.h"
@@ -34,7 +34,7 @@
     return {from.begin(), from.size()};
 }
 
-/// Writes each element of \p from to the list \p to of the same length.
+/// Writes the elements of \p from to the list \p to, which has the same length.
 template <typename Builders, typename Elements>
 auto writeAll(Builders to, const Elements &from) -> void
 {
@@ -45,7 +45,7 @@
     }
 }
 
-/// \return the elements of a list
+/// \return the decoded elements of the list \p from
 template <typename Element, typename Readers>
 auto readAll(const Readers &from) -> std::vector<Element>
 {
@@ -57,7 +57,7 @@
     return elements;
 }
 
-/// \return the message as one piece
+/// \return the message, framed and copied into one contiguous buffer
 [[nodiscard]] auto flatten(capnp::MessageBuilder &message) -> consensus::Bytes;
 
 using rpc::align;
--- a/lib/State/snapshotcodec.cpp
+++ b/lib/State/snapshotcodec.cpp
@@ -131,7 +131,8 @@
 
 auto decodeContent(std::span<const std::byte> bytes, std::size_t changeLimit) -> StateContent
 {
-    // A snapshot comes from this VM's disk or from the leader and may be large; the limit guards against hostile messages.
+    // The traversal limit guards against malicious messages. It is lifted here because a snapshot may be large and comes from a trusted
+    // source: this VM's disk or the leader.
     auto options = capnp::ReaderOptions();
     options.traversalLimitInWords = std::numeric_limits<std::uint64_t>::max();
     auto content = StateContent(changeLimit);
--- a/unittests/State/clusterstatepropertiestest.cpp
+++ b/unittests/State/clusterstatepropertiestest.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// One drawn number decides a command; small ranges make commands meet each other.
+/// Derives a command from one random number. The ranges are small so that commands often refer to the same ids, bases and terms.
 auto commandFrom(std::uint32_t draw) -> Command
 {
     const auto part = [draw](std::uint32_t shift, std::uint32_t values) {
@@ -66,7 +66,7 @@
     }));
 }
 
-TEST_CASE("a restored snapshot goes on as the replay of all commands does")
+TEST_CASE("a state restored from a snapshot continues like a replay of all commands")
 {
     CHECK(rc::check([] {
         const auto before = *commands();
@@ -82,7 +82,7 @@
     }));
 }
 
-TEST_CASE("a change sent twice, with anything between, is answered alike and runs once")
+TEST_CASE("a resent change gets the same result and is applied once, whatever commands come in between")
 {
     CHECK(rc::check([] {
         const auto before = *commands();
@@ -100,7 +100,7 @@
     }));
 }
 
-TEST_CASE("revisions, configurations and terms never fall, and a term never changes its primary")
+TEST_CASE("revisions, configurations and terms never decrease, and a term never changes its primary")
 {
     CHECK(rc::check([] {
         auto state = ClusterState();
@@ -120,7 +120,7 @@
     }));
 }
 
-TEST_CASE("any bytes are a command, a result or nothing, and change equal states alike")
+TEST_CASE("arbitrary bytes decode to a command, a result or nothing, and change equal states equally")
 {
     CHECK(rc::check([](const std::vector<std::uint8_t> &noise, std::uint32_t draw) {
         auto bytes = encode(commandFrom(draw));
--- a/unittests/State/clusterstatetest.cpp
+++ b/unittests/State/clusterstatetest.cpp
@@ -37,10 +37,10 @@
 
 } // namespace
 
-TEST_CASE("a resent change gets its first answer, over a snapshot and later changes too")
+TEST_CASE("a resent change gets its first result, also after a snapshot and later changes")
 {
-    // An operator applies a text, loses the answer and sends the change again, after another operator's change and on a control VM
-    // that was restored from a snapshot. The operator must read that the first send was accepted, not that it met a conflict.
+    // An operator loses the response to a change and resends it, after another operator's change and to a control VM that was restored
+    // from a snapshot. The operator must get the first result, accepted, not a conflict.
     auto first = ClusterState();
     CHECK(std::get<Accepted>(first.execute(changeOf("change-1", 0, "one"))).revision == Revision(1));
     CHECK(std::get<Accepted>(first.execute(changeOf("change-2", 1, "two"))).revision == Revision(2));
@@ -51,10 +51,10 @@
     CHECK(second.view()->configuration == Revision(2));
 }
 
-TEST_CASE("of two texts on an equal base exactly one is accepted, and resends change nothing")
+TEST_CASE("of two texts on the same base exactly one is accepted, and resends change nothing")
 {
-    // Two operators read revision 1 and send different texts; both lose the answer and send again in turns. One text stands, the
-    // other operator reads each time that it met a conflict.
+    // Two operators read revision 1 and send different texts; both lose the response and resend in turns. One text stays in force, and
+    // the other operator gets a conflict each time.
     auto state = ClusterState();
     state.execute(changeOf("first", 0, "start"));
     for (auto round = 0; round < 3; ++round) {
@@ -64,7 +64,7 @@
     CHECK(state.text() == "left");
 }
 
-TEST_CASE("a refused change on a base that was not reached stays refused once it is reached")
+TEST_CASE("a change rejected because its base was not reached stays rejected once the base is reached")
 {
     auto state = ClusterState();
     CHECK(std::get<Conflict>(state.execute(changeOf("early", 1, "early"))).current == Revision(0));
@@ -73,7 +73,7 @@
     CHECK(state.text() == "start");
 }
 
-TEST_CASE("a change id with another text or base is refused")
+TEST_CASE("a change id reused with another text or base is rejected")
 {
     auto state = ClusterState();
     state.execute(changeOf("change-1", 0, "one"));
@@ -81,7 +81,7 @@
     CHECK(std::holds_alternative<ChangeIdReused>(state.execute(changeOf("change-1", 1, "one"))));
 }
 
-TEST_CASE("a forgotten change id is never accepted again")
+TEST_CASE("a change whose id was evicted is never accepted again")
 {
     auto log = ChangeLog(2);
     for (const auto *id : {"a", "b", "c"}) {
@@ -99,10 +99,10 @@
     CHECK(std::holds_alternative<Accepted>(state.execute(changeOf("change-1", 1, "text", {}))));
 }
 
-TEST_CASE("a term has one primary, whatever a former control leader proposes")
+TEST_CASE("a term has at most one primary, whatever a former control leader proposes")
 {
-    // A control leader chooses a and is cut off before it learns that the choice was committed; the next one fenced another majority
-    // and chooses b for the same term. Were both promoted, writes of one term would stand in two logs.
+    // A control leader chooses a and is partitioned before it learns that the choice was committed; its successor fences another majority
+    // and chooses b for the same term. If both were promoted, the logs of two members would hold different writes of one term.
     const auto state = runningGroup();
     CHECK(isIgnored(state->execute(ChoosePrimary{orders, Term(1), UpstreamId("b"), Incarnation(1), LogPosition(9)})));
     CHECK(state->findGroup(orders)->view.primary == UpstreamId("a"));
@@ -114,8 +114,8 @@
     CHECK(state->findGroup(orders)->view.history.size() == 2);
 }
 
-// A grant that a former leader proposed must not follow one that its successor was given.
-TEST_CASE("the promotion duty goes from grant to grant, never back to an earlier leadership")
+// A grant proposed by a former leader must not replace a grant to its successor.
+TEST_CASE("a promotion grant follows the latest one and never belongs to an earlier leadership")
 {
     const auto state = runningGroup();
     const auto revision = state->view()->revision;
@@ -131,7 +131,7 @@
     CHECK(restored.promotionDuty().number == 2);
 }
 
-TEST_CASE("a group takes as many members as the text says")
+TEST_CASE("a group accepts as many members as the configuration says")
 {
     const auto state = runningGroup();
     CHECK(isIgnored(state->execute(RegisterUpstream{orders, upstreamOf("d", 1)})));
@@ -140,7 +140,7 @@
     CHECK(isIgnored(state->execute(RegisterUpstream{GroupId("unnamed"), upstreamOf("a", 1)})));
 }
 
-TEST_CASE("a group that left the text keeps its term")
+TEST_CASE("a group that was removed from the configuration keeps its term")
 {
     const auto state = runningGroup();
     state->execute(changeOf("second", 1, "other", {"orders-2"}));
@@ -149,7 +149,7 @@
     CHECK(state->view()->findGroup(orders)->term == Term(1));
 }
 
-TEST_CASE("a VM's former process cannot take it out of the view")
+TEST_CASE("a former incarnation of a VM cannot remove the VM from the view")
 {
     auto state = ClusterState();
     state.execute(RegisterVm{vmOf("hobart-1", 1)});
--- a/unittests/State/numberedtest.cpp
+++ b/unittests/State/numberedtest.cpp
@@ -19,9 +19,9 @@
 
 } // namespace
 
-TEST_CASE("among numbered texts the highest wins, in whatever order and however often they come")
+TEST_CASE("the configuration with the highest version wins, in whatever order and however often they arrive")
 {
-    // Two operators race; answers are lost and changes come again, over a snapshot too. Whoever asks later must read the highest one.
+    // Two operators race; responses are lost and changes are resent, also after a snapshot. Later reads must return the highest version.
     auto state = ClusterState();
     CHECK(std::holds_alternative<Accepted>(state.execute(numbered(5, "five"))));
     CHECK(std::holds_alternative<Accepted>(state.execute(numbered(3, "three"))));
@@ -33,7 +33,7 @@
     CHECK(restored.text() == "nine");
 }
 
-TEST_CASE("another text under the number that is held is never obeyed")
+TEST_CASE("another text with the current version is never applied")
 {
     auto state = ClusterState();
     state.execute(numbered(5, "five"));
@@ -43,7 +43,7 @@
     CHECK(state.view()->revision == before);
 }
 
-TEST_CASE("commands of numbered texts, of members that left and of the promotion duty come back from their bytes")
+TEST_CASE("versioned changes, member removals and promotion grants survive encoding and decoding")
 {
     auto change = numbered(7, "seven");
     change.content.services.front().consistency = membership::Consistency::ReadYourWrites;
@@ -69,7 +69,7 @@
     CHECK(std::get<GrantDuty>(*grant).previous == 7);
 }
 
-TEST_CASE("a self-replicating group takes members beyond its size and lets them go")
+TEST_CASE("a self-replicating group accepts members beyond its size and removes them")
 {
     auto change = numbered(1, "one");
     change.content.groups.front().selfReplicating = true;
@@ -84,9 +84,9 @@
     CHECK(state.findGroup(group)->view.members.size() == 3);
 }
 
-TEST_CASE("a large text is written compressed and comes back as it was")
+TEST_CASE("a large configuration is encoded compressed and decodes unchanged")
 {
-    // A text of thousands of services that goes to the followers in plain form holds up the heartbeats behind it.
+    // An uncompressed configuration of thousands of services delays the heartbeats that are sent to the followers after it.
     auto command = numbered(5, std::string(100'000, 'x'));
     for (auto number = 0; number < 2'000; ++number) {
         command.content.services.push_back({ServiceId("s" + std::to_string(number)), GroupId("g")});
--- a/unittests/State/samplecommands.h
+++ b/unittests/State/samplecommands.h
@@ -1,4 +1,4 @@
-// samplecommands.h: short ways to write commands in tests.
+// samplecommands.h: builders of commands for tests.
 #pragma once
 
 #include "sapphirespool/State/commands.h"
@@ -8,7 +8,7 @@
 namespace sapphirespool::state
 {
 
-/// \return a change to a text with one service in each of \p groups
+/// \return a change to a configuration with one service in each of \p groups
 inline auto changeOf(std::string_view id, std::uint64_t base, std::string_view text, const std::vector<std::string> &groups = {"orders-1"})
     -> ChangeConfiguration
 {
