--- a/include/sapphirespool/State/clusterstate.h
+++ b/include/sapphirespool/State/clusterstate.h
@@ -68,13 +68,17 @@
     auto run(const ForgetUpstream &command) -> Result;
     auto run(const GrantDuty &command) -> Result;
 
-    auto decide(const ChangeConfiguration &command) -> Result;
-    auto replace(const ChangeConfiguration &command) -> Result;
-    auto adopt(const ChangeConfiguration &command) -> void;
-    auto remember(const ChangeConfiguration &command, const Result &result) -> void;
+    /// Applies a change without a version if its base is the current configuration.
+    auto applyToBase(const ChangeConfiguration &command) -> Result;
+    /// Applies a change with a version if the version is the highest so far.
+    auto applyVersioned(const ChangeConfiguration &command) -> Result;
+    /// Puts the configuration of \p command into force and creates the groups that it names for the first time.
+    auto installConfiguration(const ChangeConfiguration &command) -> void;
+    /// Keeps \p result for resends of \p command.
+    auto recordResult(const ChangeConfiguration &command, const Result &result) -> void;
     auto group(const GroupId &id) -> GroupRecord *;
     /// Increments the revision and rebuilds the view.
-    auto changed() -> Applied;
+    auto advanceRevision() -> Applied;
     /// Builds the view, which lists only groups that a service names, and notifies the listener.
     auto buildView() -> void;
 
--- a/include/sapphirespool/State/records.h
+++ b/include/sapphirespool/State/records.h
@@ -34,8 +34,8 @@
     /// would be taken for a confirmation of the lost ones.
     Incarnation primaryIncarnation;
 
-    /// \return how many members must be fenced before the group may get a new primary. Such a quorum intersects each set of members that
-    /// suffices to acknowledge a write (two members of a group of three).
+    /// \return how many members must be fenced before the group may get a new primary. Such a quorum intersects each set of members whose
+    /// copies suffice to acknowledge a write; unless the group is self-replicating, that is any two members.
     [[nodiscard]] auto quorum() const -> std::uint32_t;
 };
 
@@ -79,9 +79,9 @@
     std::size_t limit;
     std::deque<ChangeRecord> ordered;
     /// Sequence number of each record, counted from the first one ever added.
-    std::unordered_map<ChangeId, std::uint64_t> places;
+    std::unordered_map<ChangeId, std::uint64_t> sequenceNumbers;
     /// Number of evicted records, which is the sequence number of the oldest record in \a ordered.
-    std::uint64_t forgotten = 0;
+    std::uint64_t evictedCount = 0;
 };
 
 /// The whole replicated state; a snapshot contains exactly this.
--- a/lib/State/changelog.cpp
+++ b/lib/State/changelog.cpp
@@ -27,18 +27,18 @@
 
 auto ChangeLog::find(const ChangeId &id) const -> const ChangeRecord *
 {
-    const auto found = this->places.find(id);
-    return found == this->places.end() ? nullptr : &this->ordered[found->second - this->forgotten];
+    const auto found = this->sequenceNumbers.find(id);
+    return found == this->sequenceNumbers.end() ? nullptr : &this->ordered[found->second - this->evictedCount];
 }
 
 auto ChangeLog::add(ChangeRecord record) -> void
 {
-    this->places.insert_or_assign(record.id, this->forgotten + this->ordered.size());
+    this->sequenceNumbers.insert_or_assign(record.id, this->evictedCount + this->ordered.size());
     this->ordered.push_back(std::move(record));
     if (this->ordered.size() > this->limit) {
-        this->places.erase(this->ordered.front().id);
+        this->sequenceNumbers.erase(this->ordered.front().id);
         this->ordered.pop_front();
-        ++this->forgotten;
+        ++this->evictedCount;
     }
 }
 
--- a/lib/State/clusterstate.cpp
+++ b/lib/State/clusterstate.cpp
@@ -28,27 +28,27 @@
 }
 
 /// \param elements sorted by id
-/// \param name returns the id of an element
+/// \param idOf returns the id of an element
 /// \return the element with id \p id, or the position where it would be inserted
-template <typename Elements, typename Id, typename Name>
-auto placeOf(Elements &elements, const Id &id, Name name)
+template <typename Elements, typename Id, typename IdOf>
+auto lowerBoundById(Elements &elements, const Id &id, IdOf idOf)
 {
-    return std::lower_bound(elements.begin(), elements.end(), id, [&name](const auto &element, const Id &sought) {
-        return name(element) < sought;
+    return std::lower_bound(elements.begin(), elements.end(), id, [&idOf](const auto &element, const Id &sought) {
+        return idOf(element) < sought;
     });
 }
 
-auto upstreamName(const UpstreamView &upstream) -> const UpstreamId &
+auto upstreamIdOf(const UpstreamView &upstream) -> const UpstreamId &
 {
     return upstream.id;
 }
 
-auto vmName(const ProxyView &vm) -> const VmId &
+auto vmIdOf(const ProxyView &vm) -> const VmId &
 {
     return vm.id;
 }
 
-auto groupName(const GroupRecord &group) -> const GroupId &
+auto groupIdOf(const GroupRecord &group) -> const GroupId &
 {
     return group.view.id;
 }
@@ -62,7 +62,7 @@
 }
 
 /// \return the services sorted by id, as views list them, so that all views share one list
-auto orderedById(std::vector<membership::ServiceView> services) -> support::SharedList<membership::ServiceView>
+auto sortedById(std::vector<membership::ServiceView> services) -> support::SharedList<membership::ServiceView>
 {
     std::sort(services.begin(), services.end(), [](const membership::ServiceView &left, const membership::ServiceView &right) {
         return left.id < right.id;
@@ -133,8 +133,8 @@
 
 auto ClusterState::findGroup(const GroupId &group) const -> const GroupRecord *
 {
-    const auto place = placeOf(this->content.groups, group, groupName);
-    return place == this->content.groups.end() || place->view.id != group ? nullptr : &*place;
+    const auto position = lowerBoundById(this->content.groups, group, groupIdOf);
+    return position == this->content.groups.end() || position->view.id != group ? nullptr : &*position;
 }
 
 auto ClusterState::promotionDuty() const -> const DutyGrant &
@@ -145,60 +145,60 @@
 auto ClusterState::run(const ChangeConfiguration &command) -> Result
 {
     if (command.content.version) {
-        return this->replace(command);
+        return this->applyVersioned(command);
     }
     // An operator who lost the response resends the change. Evaluated again, the change would conflict with the revision that it
     // produced itself, and the operator would apply it a second time on the new base. Return the first result, kept by change id.
-    if (const auto *const known = this->content.changes.find(command.change)) {
-        const auto same = known->base == command.base && known->digest == digestOf(command.text);
-        return same ? known->result : Result(ChangeIdReused());
+    if (const auto *const recorded = this->content.changes.find(command.change)) {
+        const auto same = recorded->base == command.base && recorded->digest == digestOf(command.text);
+        return same ? recorded->result : Result(ChangeIdReused());
     }
-    const auto result = this->decide(command);
-    this->remember(command, result);
+    const auto result = this->applyToBase(command);
+    this->recordResult(command, result);
     return result;
 }
 
-auto ClusterState::replace(const ChangeConfiguration &command) -> Result
+auto ClusterState::applyVersioned(const ChangeConfiguration &command) -> Result
 {
     // Two operators may give the same version to different texts, and an older text may be resent. Only a higher version replaces the
     // configuration, so that it never goes back and doesn't depend on which copy arrives last. A text with a lower or equal version
     // counts as accepted, because its operator need not resend it.
     if (*command.content.version > this->content.version) {
         this->content.version = *command.content.version;
-        this->adopt(command);
+        this->installConfiguration(command);
     }
     return Accepted{this->content.configuration};
 }
 
-auto ClusterState::decide(const ChangeConfiguration &command) -> Result
+auto ClusterState::applyToBase(const ChangeConfiguration &command) -> Result
 {
     if (command.base != this->content.configuration) {
         return Conflict{this->content.configuration};
     }
-    this->adopt(command);
+    this->installConfiguration(command);
     return Accepted{this->content.configuration};
 }
 
-auto ClusterState::adopt(const ChangeConfiguration &command) -> void
+auto ClusterState::installConfiguration(const ChangeConfiguration &command) -> void
 {
     this->content.configuration = this->content.configuration.next();
     this->content.text = command.text;
-    this->content.services = orderedById(command.content.services);
+    this->content.services = sortedById(command.content.services);
     for (const auto &group : command.content.groups) {
-        const auto place = placeOf(this->content.groups, group.id, groupName);
-        if (place != this->content.groups.end() && place->view.id == group.id) {
-            applyConfiguration(*place, group);
+        const auto position = lowerBoundById(this->content.groups, group.id, groupIdOf);
+        if (position != this->content.groups.end() && position->view.id == group.id) {
+            applyConfiguration(*position, group);
             continue;
         }
         auto record = GroupRecord();
         record.view.id = group.id;
         applyConfiguration(record, group);
-        this->content.groups.insert(place, std::move(record));
+        this->content.groups.insert(position, std::move(record));
     }
-    this->changed();
+    this->advanceRevision();
 }
 
-auto ClusterState::remember(const ChangeConfiguration &command, const Result &result) -> void
+auto ClusterState::recordResult(const ChangeConfiguration &command, const Result &result) -> void
 {
     // Revisions only increase, so a change on an outdated base conflicts whenever it is evaluated; its result need not be kept. A conflict
     // on a base that has not been reached yet must be kept, or the resent change could be accepted later.
@@ -215,21 +215,21 @@
         return Ignored();
     }
     auto &members = record->view.members;
-    const auto place = placeOf(members, command.upstream.id, upstreamName);
-    if (place != members.end() && place->id == command.upstream.id) {
-        if (sameUpstream(*place, command.upstream)) {
+    const auto position = lowerBoundById(members, command.upstream.id, upstreamIdOf);
+    if (position != members.end() && position->id == command.upstream.id) {
+        if (sameUpstream(*position, command.upstream)) {
             return Ignored();
         }
-        *place = command.upstream;
-        return this->changed();
+        *position = command.upstream;
+        return this->advanceRevision();
     }
     // With more members than the configured size, a quorum might not intersect the set of members that acknowledged a write: a write that
     // is only on the extra member and one other could be lost.
     if (members.size() >= record->size && !record->selfReplicating) {
         return Ignored();
     }
-    members.insert(place, command.upstream);
-    return this->changed();
+    members.insert(position, command.upstream);
+    return this->advanceRevision();
 }
 
 auto ClusterState::run(const BeginTerm &command) -> Result
@@ -241,7 +241,7 @@
     record->view.term = command.next;
     record->view.primary.reset();
     record->primaryIncarnation = Incarnation();
-    return this->changed();
+    return this->advanceRevision();
 }
 
 auto ClusterState::run(const ChoosePrimary &command) -> Result
@@ -259,7 +259,7 @@
     if (history.size() > rememberedTerms) {
         history.erase(history.begin());
     }
-    return this->changed();
+    return this->advanceRevision();
 }
 
 auto ClusterState::run(const GrantDuty &command) -> Result
@@ -276,27 +276,27 @@
 auto ClusterState::run(const RegisterVm &command) -> Result
 {
     auto &vms = this->content.vms;
-    const auto place = placeOf(vms, command.vm.id, vmName);
-    if (place == vms.end() || place->id != command.vm.id) {
-        vms.insert(place, command.vm);
-        return this->changed();
+    const auto position = lowerBoundById(vms, command.vm.id, vmIdOf);
+    if (position == vms.end() || position->id != command.vm.id) {
+        vms.insert(position, command.vm);
+        return this->advanceRevision();
     }
-    if (sameVm(*place, command.vm)) {
+    if (sameVm(*position, command.vm)) {
         return Ignored();
     }
-    *place = command.vm;
-    return this->changed();
+    *position = command.vm;
+    return this->advanceRevision();
 }
 
 auto ClusterState::run(const ForgetVm &command) -> Result
 {
     auto &vms = this->content.vms;
-    const auto place = placeOf(vms, command.vm, vmName);
-    if (place == vms.end() || place->id != command.vm || place->incarnation != command.incarnation) {
+    const auto position = lowerBoundById(vms, command.vm, vmIdOf);
+    if (position == vms.end() || position->id != command.vm || position->incarnation != command.incarnation) {
         return Ignored();
     }
-    vms.erase(place);
-    return this->changed();
+    vms.erase(position);
+    return this->advanceRevision();
 }
 
 auto ClusterState::run(const ForgetUpstream &command) -> Result
@@ -306,21 +306,21 @@
         return Ignored();
     }
     auto &members = record->view.members;
-    const auto place = placeOf(members, command.upstream, upstreamName);
-    if (place == members.end() || place->id != command.upstream || place->incarnation != command.incarnation) {
+    const auto position = lowerBoundById(members, command.upstream, upstreamIdOf);
+    if (position == members.end() || position->id != command.upstream || position->incarnation != command.incarnation) {
         return Ignored();
     }
-    members.erase(place);
-    return this->changed();
+    members.erase(position);
+    return this->advanceRevision();
 }
 
 auto ClusterState::group(const GroupId &id) -> GroupRecord *
 {
-    const auto place = placeOf(this->content.groups, id, groupName);
-    return place == this->content.groups.end() || place->view.id != id ? nullptr : &*place;
+    const auto position = lowerBoundById(this->content.groups, id, groupIdOf);
+    return position == this->content.groups.end() || position->view.id != id ? nullptr : &*position;
 }
 
-auto ClusterState::changed() -> Applied
+auto ClusterState::advanceRevision() -> Applied
 {
     this->content.revision = this->content.revision.next();
     this->buildView();
--- a/lib/State/commandcodec.cpp
+++ b/lib/State/commandcodec.cpp
@@ -16,9 +16,10 @@
 
 /// Size in bytes from which a command is compressed. Uncompressed, a configuration of thousands of services would delay the heartbeats
 /// between control VMs, which share the connections.
-constexpr auto compressedFrom = std::size_t{4'096};
-/// Limit in bytes on a decompressed command: several times what a configuration of 10,000 services needs.
-constexpr auto unpackedLimit = std::size_t{64} * 1024 * 1024;
+constexpr auto compressionThreshold = std::size_t{4'096};
+/// Limit in bytes on a decompressed command: several times what a configuration of 10,000 services needs. It is also passed as the
+/// traversal limit, which Cap'n Proto counts in words.
+constexpr auto decompressedLimit = std::size_t{64} * 1024 * 1024;
 
 /// Visitor that writes each kind of command to its Cap'n Proto form.
 struct CommandWriter
@@ -34,14 +35,14 @@
         builder.setVersion(command.content.version.value_or(ConfigurationVersion()).value());
         writeAll(builder.initServices(static_cast<unsigned>(command.content.services.size())), command.content.services);
         auto groups = builder.initGroups(static_cast<unsigned>(command.content.groups.size()));
-        auto place = 0U;
+        auto index = 0U;
         for (const auto &group : command.content.groups) {
-            groups[place].setId(group.id.value());
-            groups[place].setSize(group.size);
-            groups[place].setConnectionLimit(group.connectionLimit);
-            groups[place].setSelfReplicating(group.selfReplicating);
-            groups[place].setConfirmations(group.confirmations);
-            ++place;
+            groups[index].setId(group.id.value());
+            groups[index].setSize(group.size);
+            groups[index].setConnectionLimit(group.connectionLimit);
+            groups[index].setSelfReplicating(group.selfReplicating);
+            groups[index].setConfirmations(group.confirmations);
+            ++index;
         }
     }
 
@@ -99,7 +100,7 @@
     }
 };
 
-auto readChange(schema::Command::ChangeConfiguration::Reader from) -> ChangeConfiguration
+auto readChangeConfiguration(schema::Command::ChangeConfiguration::Reader from) -> ChangeConfiguration
 {
     auto command = ChangeConfiguration();
     command.change = ChangeId(read(from.getChange()));
@@ -116,7 +117,7 @@
     return command;
 }
 
-auto readChoice(schema::Command::ChoosePrimary::Reader from) -> ChoosePrimary
+auto readChoosePrimary(schema::Command::ChoosePrimary::Reader from) -> ChoosePrimary
 {
     return {GroupId(read(from.getGroup())),
             Term(from.getTerm()),
@@ -129,13 +130,13 @@
 {
     switch (from.which()) {
     case schema::Command::CHANGE_CONFIGURATION:
-        return readChange(from.getChangeConfiguration());
+        return readChangeConfiguration(from.getChangeConfiguration());
     case schema::Command::REGISTER_UPSTREAM:
         return RegisterUpstream{GroupId(read(from.getRegisterUpstream().getGroup())), read(from.getRegisterUpstream().getUpstream())};
     case schema::Command::BEGIN_TERM:
         return BeginTerm{GroupId(read(from.getBeginTerm().getGroup())), Term(from.getBeginTerm().getPrevious()), Term(from.getBeginTerm().getNext())};
     case schema::Command::CHOOSE_PRIMARY:
-        return readChoice(from.getChoosePrimary());
+        return readChoosePrimary(from.getChoosePrimary());
     case schema::Command::REGISTER_VM:
         return RegisterVm{read(from.getRegisterVm())};
     case schema::Command::FORGET_VM:
@@ -162,16 +163,16 @@
     const auto failure = kj::runCatchingExceptions([&] {
         const auto words = align(bytes);
         auto options = capnp::ReaderOptions();
-        options.traversalLimitInWords = unpackedLimit;
+        options.traversalLimitInWords = decompressedLimit;
         auto message = capnp::FlatArrayMessageReader(words, options);
         value = readRoot(message);
     });
     return failure == nullptr ? value : std::nullopt;
 }
 
-auto readCompressed(capnp::Data::Reader packed) -> std::optional<Command>
+auto readCompressed(capnp::Data::Reader compressed) -> std::optional<Command>
 {
-    const auto plain = support::decompress(rpc::bytesOf(packed), unpackedLimit);
+    const auto plain = support::decompress(rpc::bytesOf(compressed), decompressedLimit);
     if (!plain) {
         return std::nullopt;
     }
@@ -187,12 +188,12 @@
     auto message = capnp::MallocMessageBuilder();
     std::visit(CommandWriter{message.initRoot<schema::Command>()}, command);
     auto plain = flatten(message);
-    if (plain.size() < compressedFrom) {
+    if (plain.size() < compressionThreshold) {
         return plain;
     }
-    const auto packed = support::compress(plain);
+    const auto compressed = support::compress(plain);
     auto outer = capnp::MallocMessageBuilder();
-    outer.initRoot<schema::Command>().setCompressed(rpc::toData(packed));
+    outer.initRoot<schema::Command>().setCompressed(rpc::toData(compressed));
     return flatten(outer);
 }
 
--- a/lib/State/recordcodec.cpp
+++ b/lib/State/recordcodec.cpp
@@ -20,10 +20,10 @@
     to.setId(from.id.value());
     to.setGroup(from.group.value());
     auto dependsOn = to.initDependsOn(static_cast<unsigned>(from.dependsOn.size()));
-    auto place = 0U;
+    auto index = 0U;
     for (const auto &dependency : from.dependsOn) {
-        dependsOn.set(place, dependency.value());
-        ++place;
+        dependsOn.set(index, dependency.value());
+        ++index;
     }
     to.setReadAgeMs(static_cast<std::uint64_t>(from.readAge.count()));
     to.setTimeoutMs(static_cast<std::uint64_t>(from.timeout.count()));
--- a/lib/State/recordcodec.h
+++ b/lib/State/recordcodec.h
@@ -38,10 +38,10 @@
 template <typename Builders, typename Elements>
 auto writeAll(Builders to, const Elements &from) -> void
 {
-    auto place = 0U;
+    auto index = 0U;
     for (const auto &element : from) {
-        write(to[place], element);
-        ++place;
+        write(to[index], element);
+        ++index;
     }
 }
 
--- a/lib/State/snapshotcodec.cpp
+++ b/lib/State/snapshotcodec.cpp
@@ -29,10 +29,10 @@
     to.setPrimary(from.view.primary.value_or(UpstreamId()).value());
     to.setPrimaryIncarnation(from.primaryIncarnation.value());
     auto history = to.initHistory(static_cast<unsigned>(from.view.history.size()));
-    auto place = 0U;
+    auto index = 0U;
     for (const auto &start : from.view.history) {
-        write(history[place], start);
-        ++place;
+        write(history[index], start);
+        ++index;
     }
     to.setConnectionLimit(from.view.connectionLimit);
     to.setSelfReplicating(from.selfReplicating);
@@ -116,15 +116,15 @@
     root.setText(content.text);
     writeAll(root.initServices(static_cast<unsigned>(content.services.size())), content.services);
     auto groups = root.initGroups(static_cast<unsigned>(content.groups.size()));
-    for (auto place = 0U; place < content.groups.size(); ++place) {
-        write(groups[place], content.groups[place]);
+    for (auto index = 0U; index < content.groups.size(); ++index) {
+        write(groups[index], content.groups[index]);
     }
     writeAll(root.initVms(static_cast<unsigned>(content.vms.size())), content.vms);
     write(root.initDuty(), content.duty);
     const auto &records = content.changes.records();
     auto changes = root.initChanges(static_cast<unsigned>(records.size()));
-    for (auto place = 0U; place < records.size(); ++place) {
-        write(changes[place], records[place]);
+    for (auto index = 0U; index < records.size(); ++index) {
+        write(changes[index], records[index]);
     }
     return flatten(message);
 }
--- a/unittests/State/clusterstatepropertiestest.cpp
+++ b/unittests/State/clusterstatepropertiestest.cpp
@@ -124,8 +124,8 @@
 {
     CHECK(rc::check([](const std::vector<std::uint8_t> &noise, std::uint32_t draw) {
         auto bytes = encode(commandFrom(draw));
-        for (std::size_t place = 0; place < noise.size(); ++place) {
-            bytes[noise[place] % bytes.size()] ^= std::byte{noise[noise.size() - 1 - place]};
+        for (std::size_t index = 0; index < noise.size(); ++index) {
+            bytes[noise[index] % bytes.size()] ^= std::byte{noise[noise.size() - 1 - index]};
         }
         bytes.resize(bytes.size() - noise.size() % 9);
         auto left = ClusterState();
--- a/unittests/State/numberedtest.cpp
+++ b/unittests/State/numberedtest.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-auto numbered(std::uint64_t version, std::string text) -> ChangeConfiguration
+auto versionedChange(std::uint64_t version, std::string text) -> ChangeConfiguration
 {
     auto command = changeOf("by version", 0, std::move(text));
     command.content.version = ConfigurationVersion(version);
@@ -23,29 +23,29 @@
 {
     // Two operators race; responses are lost and changes are resent, also after a snapshot. Later reads must return the highest version.
     auto state = ClusterState();
-    CHECK(std::holds_alternative<Accepted>(state.execute(numbered(5, "five"))));
-    CHECK(std::holds_alternative<Accepted>(state.execute(numbered(3, "three"))));
+    CHECK(std::holds_alternative<Accepted>(state.execute(versionedChange(5, "five"))));
+    CHECK(std::holds_alternative<Accepted>(state.execute(versionedChange(3, "three"))));
     CHECK(state.text() == "five");
-    CHECK(std::holds_alternative<Accepted>(state.execute(numbered(9, "nine"))));
+    CHECK(std::holds_alternative<Accepted>(state.execute(versionedChange(9, "nine"))));
     auto restored = ClusterState();
     restored.restore(state.snapshot());
-    CHECK(std::holds_alternative<Accepted>(restored.execute(numbered(5, "five"))));
+    CHECK(std::holds_alternative<Accepted>(restored.execute(versionedChange(5, "five"))));
     CHECK(restored.text() == "nine");
 }
 
 TEST_CASE("another text with the current version is never applied")
 {
     auto state = ClusterState();
-    state.execute(numbered(5, "five"));
+    state.execute(versionedChange(5, "five"));
     const auto before = state.view()->revision;
-    CHECK(std::holds_alternative<Accepted>(state.execute(numbered(5, "other"))));
+    CHECK(std::holds_alternative<Accepted>(state.execute(versionedChange(5, "other"))));
     CHECK(state.text() == "five");
     CHECK(state.view()->revision == before);
 }
 
 TEST_CASE("versioned changes, member removals and promotion grants survive encoding and decoding")
 {
-    auto change = numbered(7, "seven");
+    auto change = versionedChange(7, "seven");
     change.content.services.front().consistency = membership::Consistency::ReadYourWrites;
     change.content.services.front().objective = std::chrono::milliseconds(400);
     change.content.groups.front().selfReplicating = true;
@@ -53,12 +53,12 @@
     change.content.groups.front().connectionLimit = 34;
     const auto decoded = decodeCommand(encode(Command(change)));
     REQUIRE(decoded);
-    const auto &back = std::get<ChangeConfiguration>(*decoded);
-    CHECK(back.content.version == ConfigurationVersion(7));
-    CHECK(back.content.services == change.content.services);
-    CHECK(back.content.groups.front().selfReplicating);
-    CHECK(back.content.groups.front().confirmations == 1);
-    CHECK(back.content.groups.front().connectionLimit == 34);
+    const auto &decodedChange = std::get<ChangeConfiguration>(*decoded);
+    CHECK(decodedChange.content.version == ConfigurationVersion(7));
+    CHECK(decodedChange.content.services == change.content.services);
+    CHECK(decodedChange.content.groups.front().selfReplicating);
+    CHECK(decodedChange.content.groups.front().confirmations == 1);
+    CHECK(decodedChange.content.groups.front().connectionLimit == 34);
     const auto forget = decodeCommand(encode(Command(ForgetUpstream{GroupId("g"), UpstreamId("a"), Incarnation(4)})));
     REQUIRE(forget);
     CHECK(std::get<ForgetUpstream>(*forget).incarnation == Incarnation(4));
@@ -71,7 +71,7 @@
 
 TEST_CASE("a self-replicating group accepts members beyond its size and removes them")
 {
-    auto change = numbered(1, "one");
+    auto change = versionedChange(1, "one");
     change.content.groups.front().selfReplicating = true;
     auto state = ClusterState();
     state.execute(change);
@@ -87,7 +87,7 @@
 TEST_CASE("a large configuration is encoded compressed and decodes unchanged")
 {
     // An uncompressed configuration of thousands of services delays the heartbeats that are sent to the followers after it.
-    auto command = numbered(5, std::string(100'000, 'x'));
+    auto command = versionedChange(5, std::string(100'000, 'x'));
     for (auto number = 0; number < 2'000; ++number) {
         command.content.services.push_back({ServiceId("s" + std::to_string(number)), GroupId("g")});
     }
