--- a/include/sapphirespool/Storage/error.h
+++ b/include/sapphirespool/Storage/error.h
@@ -1,4 +1,4 @@
-// error.h: the ways in which the data folder can fail.
+// error.h: errors of the data folder.
 #pragma once
 
 #include <string>
@@ -6,11 +6,11 @@
 namespace sapphirespool::storage
 {
 
-/// What kind of failure; each has its own remedy.
+/// The kind of a storage failure. Each kind has its own remedy.
 enum class StorageErrorKind {
-    /// A write, sync, rename or removal was refused by the operating system, for example because the disk is full.
+    /// The operating system failed a file operation, for example because the disk is full.
     OperationFailed,
-    /// Another process holds the data folder.
+    /// Another process holds the lock of the data folder.
     Locked,
     /// A synced record does not match its checksum.
     Corrupt,
@@ -18,7 +18,7 @@
     WrongVm,
 };
 
-/// Payload of a failed boost::leaf::result.
+/// Error object of a failed boost::leaf::result.
 struct StorageError
 {
     StorageErrorKind kind;
--- a/include/sapphirespool/Storage/folder.h
+++ b/include/sapphirespool/Storage/folder.h
@@ -1,4 +1,4 @@
-// folder.h: the file operations that lasting state needs, behind an interface so that tests can make each of them fail.
+// folder.h: file operations for durable state, behind an interface so that tests can make each of them fail.
 #pragma once
 
 #include "sapphirespool/Storage/error.h"
@@ -18,7 +18,7 @@
 
 using Bytes = std::vector<std::byte>;
 
-/// A file open for appending. What is appended lasts once sync() has succeeded.
+/// A file open for appending. Appended data is durable once sync() has succeeded.
 class File
 {
 public:
@@ -31,7 +31,7 @@
     virtual auto sync() -> boost::leaf::result<void> = 0;
 };
 
-/// One flat folder. Creations, renames and removals last once sync() has succeeded. Failures carry a StorageError.
+/// A folder without subfolders. Creations, renames and removals are durable once sync() has succeeded. Failures carry a StorageError.
 class Folder
 {
 public:
@@ -40,19 +40,19 @@
     auto operator=(const Folder &) -> Folder & = delete;
     virtual ~Folder() = default;
 
-    /// Opens an empty file, in place of one that has the name.
+    /// Creates an empty file and opens it for appending. An existing file of that name is truncated.
     virtual auto create(std::string_view name) -> boost::leaf::result<std::unique_ptr<File>> = 0;
-    /// Opens a file, cut to \p size bytes, for appending.
+    /// Truncates an existing file to \p size bytes and opens it for appending.
     virtual auto openAt(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> = 0;
     virtual auto read(std::string_view name) -> boost::leaf::result<Bytes> = 0;
     virtual auto list() -> boost::leaf::result<std::vector<std::string>> = 0;
-    /// Gives the file \p from the name \p to in one step, in place of one that has it.
+    /// Atomically renames the file \p from to \p to, replacing an existing file of that name.
     virtual auto rename(std::string_view from, std::string_view to) -> boost::leaf::result<void> = 0;
     virtual auto remove(std::string_view name) -> boost::leaf::result<void> = 0;
     virtual auto sync() -> boost::leaf::result<void> = 0;
 };
 
-/// Opens the folder at \p path, creating it if needed, and locks it for this process until the result is destroyed.
+/// Opens the folder at \p path, creating it if needed. The returned object holds an exclusive lock on the folder until it is destroyed.
 [[nodiscard]] auto openPosixFolder(const std::filesystem::path &path) -> boost::leaf::result<std::unique_ptr<Folder>>;
 
 } // namespace sapphirespool::storage
--- a/include/sapphirespool/Storage/journal.h
+++ b/include/sapphirespool/Storage/journal.h
@@ -1,4 +1,4 @@
-// journal.h: an append-only file of checksummed records, and whole files that are replaced in one step.
+// journal.h: an append-only file of checksummed records, and files that are replaced atomically.
 #pragma once
 
 #include "sapphirespool/Storage/folder.h"
@@ -16,24 +16,29 @@
 namespace sapphirespool::storage
 {
 
-/// Records that survive a crash once they are synced.
+/// An append-only file of records that survive a crash once they are synced.
 ///
-/// Each record carries its checksum and how much of the file was synced when it was written. At the next start a broken record
-/// behind which nothing proves a sync is the torn end of the last writes and is cut off; nobody was told that it lasts. A broken
-/// record that a later one proves to have been synced is lost data, and the journal refuses to open.
+/// A crash can leave the last writes incomplete, and a bad disk can damage records that were acknowledged. Without telling the two
+/// apart, recovery would either fail after each crash or silently drop acknowledged data.
+///
+/// Each record therefore carries its checksum and the number of bytes of the file that were synced when it was written. If the
+/// synced size in no later record covers an invalid record, open() takes it for a torn write that was never acknowledged, and
+/// truncates the file there. If a later record proves that the invalid one was synced, data is lost and open() fails.
+///
+/// After a failed write or sync all further operations fail.
 class Journal
 {
 public:
-    /// Opens the journal \p name of \p folder, which must outlive it. A missing one is empty.
+    /// Opens the journal file \p name in \p folder, which must outlive the journal. Creates an empty journal if there is no such file.
     [[nodiscard]] static auto open(Folder &folder, std::string name) -> boost::leaf::result<std::unique_ptr<Journal>>;
 
-    /// \return the records found by open(); empty after the first call
+    /// \return the records that open() recovered; empty after the first call
     [[nodiscard]] auto takeRecords() -> std::vector<Bytes>;
 
     auto append(std::span<const std::byte> record) -> boost::leaf::result<void>;
     auto sync() -> boost::leaf::result<void>;
 
-    /// Replaces all records by \p records, synced, in one step.
+    /// Atomically replaces all records by \p records and syncs them.
     auto replace(std::span<const Bytes> records) -> boost::leaf::result<void>;
 
 private:
@@ -50,10 +55,11 @@
     bool failed = false;
 };
 
-/// Replaces the file \p name by one that holds \p content and its checksum: write, sync, rename, sync.
+/// Atomically replaces the file \p name by one that holds \p content and its checksum: writes and syncs a temporary file, renames it and syncs
+/// the folder.
 [[nodiscard]] auto replaceFile(Folder &folder, std::string_view name, std::span<const std::byte> content) -> boost::leaf::result<void>;
 
-/// \return what replaceFile() wrote; nothing if there is no such file
+/// \return the content that replaceFile() wrote; nothing if there is no such file
 [[nodiscard]] auto readFile(Folder &folder, std::string_view name) -> boost::leaf::result<std::optional<Bytes>>;
 
 } // namespace sapphirespool::storage
--- a/include/sapphirespool/Storage/record.h
+++ b/include/sapphirespool/Storage/record.h
@@ -1,4 +1,4 @@
-// record.h: the form of a checksummed record in a file.
+// record.h: the on-disk format of checksummed records.
 #pragma once
 
 #include "sapphirespool/Storage/folder.h"
@@ -11,19 +11,23 @@
 namespace sapphirespool::storage
 {
 
-/// Appends to \p out the record of \p payload that will stand at \p offset of its file, of which \p syncedSize bytes are synced.
+/// Encodes \p payload as a record and appends it to \p out.
+///
+/// \param offset the offset of the record in its file, which its checksum covers
+/// \param syncedSize the number of bytes of the file that are synced
 auto encodeRecord(std::span<const std::byte> payload, std::uint64_t offset, std::uint64_t syncedSize, Bytes &out) -> void;
 
-/// What a scan of a file found.
+/// Result of scanRecords().
 struct RecordScan
 {
     std::vector<Bytes> records;
-    /// Bytes up to the end of the last whole record.
+    /// Size in bytes of the leading part of the file that consists of valid records.
     std::uint64_t validSize = 0;
-    /// Offset of a broken record that had been synced.
+    /// Offset of an invalid record that a later record proves to have been synced; nothing if there is none.
     std::optional<std::uint64_t> lostAt;
 };
 
+/// Decodes the records of \p file up to the first invalid one.
 [[nodiscard]] auto scanRecords(std::span<const std::byte> file) -> RecordScan;
 
 } // namespace sapphirespool::storage
--- a/lib/Storage/journal.cpp
+++ b/lib/Storage/journal.cpp
@@ -19,7 +19,7 @@
 {
     return {StorageErrorKind::Corrupt,
             "file " + std::string(name) + " lost synced data at byte " + std::to_string(offset)
-                + "; check the disk, then empty the data folder: the VM rejoins as a new replica and is filled by the others"};
+                + "; check the disk, then empty the data folder: the VM rejoins as a new replica and receives its data from the others"};
 }
 
 auto exists(Folder &folder, std::string_view name) -> boost::leaf::result<bool>
@@ -28,13 +28,13 @@
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-/// Writes \p content under a temporary name and gives it the name \p name once it lasts.
+/// Writes \p content to a temporary file and, once that is synced, renames it to \p name.
 auto replaceWhole(Folder &folder, std::string_view name, std::span<const std::byte> content) -> boost::leaf::result<std::unique_ptr<File>>
 {
     const auto temporary = std::string(name) + temporarySuffix;
     BOOST_LEAF_AUTO(file, folder.create(temporary));
     BOOST_LEAF_CHECK(file->append(content));
-    // Renamed before it is synced, the file could be empty after a crash while the old one is gone.
+    // If the file were renamed before it is synced, a crash could leave it empty with the old one already gone.
     BOOST_LEAF_CHECK(file->sync());
     BOOST_LEAF_CHECK(folder.rename(temporary, name));
     BOOST_LEAF_CHECK(folder.sync());
@@ -71,7 +71,7 @@
     BOOST_LEAF_AUTO(opened, this->folder.openAt(this->name, scan.validSize));
     this->file = std::move(opened);
     this->size = scan.validSize;
-    // What is found may so far be in memory only, and the first records appended below count on it.
+    // The recovered records may still be only in the page cache, and the records appended next state them as synced.
     return this->sync();
 }
 
@@ -83,7 +83,8 @@
 auto Journal::append(std::span<const std::byte> record) -> boost::leaf::result<void>
 {
     if (this->failed) {
-        return boost::leaf::new_error(StorageError{StorageErrorKind::OperationFailed, "an earlier write failed; free the disk and restart"});
+        return boost::leaf::new_error(
+            StorageError{StorageErrorKind::OperationFailed, "an earlier write or sync failed; free or repair the disk of the data folder and restart"});
     }
     auto encoded = Bytes();
     encodeRecord(record, this->size, this->syncedSize, encoded);
@@ -96,9 +97,11 @@
 
 auto Journal::sync() -> boost::leaf::result<void>
 {
-    // A failed sync may drop the pages and let the next one succeed without them. So the first failure is final.
+    // After a failed sync the operating system may drop the dirty pages and report success for the next sync without having written
+    // them. The first failure is therefore permanent.
     if (this->failed) {
-        return boost::leaf::new_error(StorageError{StorageErrorKind::OperationFailed, "an earlier write failed; free the disk and restart"});
+        return boost::leaf::new_error(
+            StorageError{StorageErrorKind::OperationFailed, "an earlier write or sync failed; free or repair the disk of the data folder and restart"});
     }
     this->failed = true;
     BOOST_LEAF_CHECK(this->file->sync());
@@ -110,7 +113,8 @@
 auto Journal::replace(std::span<const Bytes> records) -> boost::leaf::result<void>
 {
     if (this->failed) {
-        return boost::leaf::new_error(StorageError{StorageErrorKind::OperationFailed, "an earlier write failed; free the disk and restart"});
+        return boost::leaf::new_error(
+            StorageError{StorageErrorKind::OperationFailed, "an earlier write or sync failed; free or repair the disk of the data folder and restart"});
     }
     auto content = Bytes();
     for (const auto &record : records) {
--- a/lib/Storage/posixfolder.cpp
+++ b/lib/Storage/posixfolder.cpp
@@ -28,7 +28,7 @@
             std::string(operation) + " of " + std::string(name) + " failed: " + reason + "; free or repair the disk of the data folder and restart"};
 }
 
-/// A file descriptor that is closed with its owner.
+/// Owns a file descriptor and closes it on destruction.
 class Descriptor
 {
 public:
@@ -189,7 +189,7 @@
             return boost::leaf::new_error(operationFailed("opening", name));
         }
         if (size && ::ftruncate(file.get(), static_cast<off_t>(*size)) != 0) {
-            return boost::leaf::new_error(operationFailed("cutting", name));
+            return boost::leaf::new_error(operationFailed("truncation", name));
         }
         return std::unique_ptr<File>(std::make_unique<PosixFile>(std::move(file), text));
     }
@@ -213,7 +213,7 @@
     if (lock.get() < 0) {
         return boost::leaf::new_error(operationFailed("opening", lockName));
     }
-    // Two processes that write one log would mix their records, and each would acknowledge what the other overwrites.
+    // Two processes that write to one log would interleave their records, and each would acknowledge records that the other overwrites.
     if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0) {
         return boost::leaf::new_error(
             StorageError{StorageErrorKind::Locked, "data folder " + path.string() + " is used by another process; stop it or choose another folder"});
--- a/lib/Storage/record.cpp
+++ b/lib/Storage/record.cpp
@@ -11,10 +11,11 @@
 namespace
 {
 
-/// Marks the start of a record, so that the search behind a broken one is quick.
+/// Magic number at the start of a record. It lets the search for valid records after an invalid one skip most offsets without
+/// computing a checksum.
 constexpr auto recordMark = std::uint32_t(0x53505243);
 
-/// Fixed part of a record; all in the byte order of the machine, since a data folder stays on its VM.
+/// Fixed-size part of a record, in native byte order since a data folder never moves to another VM.
 struct Header
 {
     std::uint32_t mark;
@@ -22,23 +23,24 @@
     std::uint64_t syncedSize;
     std::uint64_t checksum;
 };
-static_assert(sizeof(Header) == 24, "no padding in the file");
+static_assert(sizeof(Header) == 24, "the on-disk header has no padding");
 
 auto checksum(const Header &header, std::span<const std::byte> payload, std::uint64_t offset) -> std::uint64_t
 {
-    // With the offset in it, a record that stands at another place than it was written for does not pass.
+    // The checksum covers the offset, so that a record at an offset other than the one it was written for is invalid.
     const auto fixed = std::array<std::uint64_t, 3>{header.length, header.syncedSize, offset};
     const auto seed = XXH64(fixed.data(), sizeof(fixed), recordMark);
     return XXH64(payload.data(), payload.size(), seed);
 }
 
-/// A whole record in a file.
+/// A valid record in a file.
 struct FoundRecord
 {
     std::span<const std::byte> payload;
     std::uint64_t syncedSize;
 };
 
+/// \return the record at \p offset; nothing if it is incomplete or invalid
 auto recordAt(std::span<const std::byte> file, std::uint64_t offset) -> std::optional<FoundRecord>
 {
     if (file.size() - offset < sizeof(Header)) {
@@ -56,6 +58,7 @@
     return FoundRecord{payload, header.syncedSize};
 }
 
+/// \return whether a valid record after the offset \p broken states that the file was synced beyond that offset
 auto provenSynced(std::span<const std::byte> file, std::uint64_t broken) -> bool
 {
     for (auto offset = broken + 1; offset + sizeof(Header) <= file.size(); ++offset) {
--- a/unittests/Storage/fakefolder.cpp
+++ b/unittests/Storage/fakefolder.cpp
@@ -19,7 +19,7 @@
     auto append(std::span<const std::byte> data) -> boost::leaf::result<void> override
     {
         auto done = this->folder.step();
-        // A write that fails for lack of space leaves a part of it.
+        // A write that fails because the disk is full leaves a part of the data in the file.
         const auto kept = done ? data.size() : data.size() / 2;
         this->content->present.insert(this->content->present.end(), data.begin(), data.begin() + static_cast<std::ptrdiff_t>(kept));
         return done;
@@ -108,7 +108,7 @@
 auto FakeFolder::crash(CrashLeaves leaves) -> void
 {
     this->failFrom.reset();
-    // A rename that was not synced may have reached the disk or not.
+    // An unsynced rename may or may not have reached the disk.
     if (leaves == CrashLeaves::Nothing || leaves == CrashLeaves::TornTail) {
         this->names = this->durable;
     }
--- a/unittests/Storage/fakefolder.h
+++ b/unittests/Storage/fakefolder.h
@@ -1,4 +1,4 @@
-// fakefolder.h: a folder in memory whose operations fail on demand and that forgets what was not synced.
+// fakefolder.h: an in-memory folder that injects failures and loses unsynced data in a simulated crash.
 #pragma once
 
 #include "sapphirespool/Storage/folder.h"
@@ -12,17 +12,17 @@
 namespace sapphirespool::storage
 {
 
-/// What a crash leaves of the operations that were not synced.
+/// Which unsynced operations survive a simulated crash.
 enum class CrashLeaves {
     Nothing,
-    /// All but the last byte of each file.
+    /// Unsynced appends without the last byte of each file; unsynced creations, renames and removals are lost.
     TornTail,
-    /// All, with the first unsynced byte wrong: later blocks reached the disk before earlier ones.
+    /// All, with the first unsynced byte of each file corrupted, as if later blocks had reached the disk before earlier ones.
     HoleInTail,
     Everything,
 };
 
-/// Counts its operations; the one with the chosen number fails, and all after it too.
+/// An in-memory folder that counts its modifying operations. From a chosen operation on, all of them fail until crash().
 class FakeFolder : public Folder
 {
 public:
@@ -34,11 +34,11 @@
     auto remove(std::string_view name) -> boost::leaf::result<void> override;
     auto sync() -> boost::leaf::result<void> override;
 
-    /// Lets the operation \p number from now, from 0, fail.
+    /// Makes all operations fail after the next \p number ones.
     auto failAt(std::uint64_t number) -> void;
-    /// Drops what did not last and lets all operations succeed again.
+    /// Simulates a crash: drops unsynced data as \p leaves says and ends the failures.
     auto crash(CrashLeaves leaves) -> void;
-    /// Flips a bit of a file as a bad disk would.
+    /// Flips one bit of the byte at \p offset, as a bad disk would.
     auto damage(std::string_view name, std::size_t offset) -> void;
     [[nodiscard]] auto operations() const -> std::uint64_t;
 
@@ -52,6 +52,7 @@
     };
     using Names = std::map<std::string, std::shared_ptr<Content>, std::less<>>;
 
+    /// Counts an operation and fails it if failAt() says so.
     auto step() -> boost::leaf::result<void>;
 
     Names durable;
--- a/unittests/Storage/journaltest.cpp
+++ b/unittests/Storage/journaltest.cpp
@@ -42,14 +42,14 @@
     return {};
 }
 
-/// How far the work of a process came.
+/// The last record that a run of work() synced, and the last one that it tried to append.
 struct Acknowledged
 {
     int synced = 0;
     int appended = 0;
 };
 
-/// Appends 12 records, syncs each second, and compacts to the last four after the eighth.
+/// Appends 12 records, syncs after every second one, and after the eighth one compacts the journal to the last four.
 auto work(Folder &folder, Acknowledged &done) -> boost::leaf::result<void>
 {
     constexpr auto records = 12;
@@ -70,7 +70,7 @@
     return {};
 }
 
-/// What is written after a restart must be found at the next one, also behind a torn end.
+/// Checks that a record written after a restart is recovered at the next restart, also if recovery truncated a torn write.
 auto checkGoesOn(FakeFolder &folder, std::size_t before) -> void
 {
     constexpr auto later = 100;
@@ -107,11 +107,11 @@
 
 } // namespace
 
-TEST_CASE("a journal restarts from a failure of each write, sync and rename with all that was synced")
+TEST_CASE("a journal recovers all synced records after a failure of any write, sync or rename")
 {
-    // The caller sees: a change that was accepted is gone after a restart, or the VM does not start.
-    // Each operation fails in turn, the process ends, and the disk keeps none, a part, a part with a hole, or all of what was not synced.
-    // Records are found again by their checksums, files are replaced only once they are synced.
+    // Guards against an accepted change that is gone after a restart, and against a VM that does not start.
+    // Each operation fails in turn, the process ends, and the disk keeps none, a part, a part with a hole, or all of the unsynced data.
+    // Recovery relies on the checksums of the records, and on files being replaced only once they are synced.
     auto whole = FakeFolder();
     auto unused = Acknowledged();
     REQUIRE_FALSE(errorOf([&whole, &unused] {
@@ -131,9 +131,9 @@
     }
 }
 
-TEST_CASE("a journal with a broken synced record refuses to open and names the remedy")
+TEST_CASE("a journal with a corrupted synced record fails to open, and the error names the remedy")
 {
-    // The caller sees: a VM that acknowledged a change no longer has it, and votes as if it never had.
+    // Guards against a VM that acknowledged a change, has lost it, and votes as if it had never had it.
     // A bad block destroys a record in the middle of the log. The later records prove that it had been synced.
     auto folder = FakeFolder();
     auto done = Acknowledged();
@@ -150,10 +150,10 @@
     CHECK(error->detail.find("empty the data folder") != std::string::npos);
 }
 
-TEST_CASE("a journal acknowledges nothing after a failed sync, also if the next one would succeed")
+TEST_CASE("a journal acknowledges nothing after a failed sync, even if the next sync would succeed")
 {
-    // The caller sees: an accepted change is gone after a restart.
-    // The sync fails and the system drops the pages; a second sync reports success without having written them.
+    // Guards against an accepted change that is gone after a restart.
+    // A sync fails and the operating system drops the dirty pages. A second sync reports success without having written them.
     auto folder = FakeFolder();
     auto outcomes = std::vector<bool>();
     const auto error = errorOf([&folder, &outcomes]() -> boost::leaf::result<void> {
@@ -170,7 +170,7 @@
     CHECK(outcomes == std::vector<bool>{false, false, false});
 }
 
-TEST_CASE("a replaced file is the old one or the new one after a failure of each operation")
+TEST_CASE("replaceFile leaves the old or the new content after a failure of any operation")
 {
     for (const auto leaves : {CrashLeaves::Nothing, CrashLeaves::TornTail, CrashLeaves::HoleInTail, CrashLeaves::Everything}) {
         constexpr auto operationsOfReplace = 5;
@@ -194,7 +194,7 @@
     }
 }
 
-TEST_CASE("a data folder on disk is held by one process and keeps its records")
+TEST_CASE("a data folder on disk is locked by one process and keeps its records")
 {
     const auto path = std::filesystem::temp_directory_path() / ("sapphirespool-storage-" + std::to_string(::getpid()));
     std::filesystem::remove_all(path);
