--- a/include/sapphirespool/Storage/folder.h
+++ b/include/sapphirespool/Storage/folder.h
@@ -43,7 +43,7 @@
     /// Creates an empty file and opens it for appending. An existing file of that name is truncated.
     virtual auto create(std::string_view name) -> boost::leaf::result<std::unique_ptr<File>> = 0;
     /// Truncates an existing file to \p size bytes and opens it for appending.
-    virtual auto openAt(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> = 0;
+    virtual auto openTruncated(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> = 0;
     virtual auto read(std::string_view name) -> boost::leaf::result<Bytes> = 0;
     virtual auto list() -> boost::leaf::result<std::vector<std::string>> = 0;
     /// Atomically renames the file \p from to \p to, replacing an existing file of that name.
--- a/include/sapphirespool/Storage/journal.h
+++ b/include/sapphirespool/Storage/journal.h
@@ -25,7 +25,7 @@
 /// synced size in no later record covers an invalid record, open() takes it for a torn write that was never acknowledged, and
 /// truncates the file there. If a later record proves that the invalid one was synced, data is lost and open() fails.
 ///
-/// After a failed write or sync all further operations fail.
+/// After a failed write or sync all further appends, syncs and replacements fail.
 class Journal
 {
 public:
@@ -44,12 +44,12 @@
 private:
     Journal(Folder &folder, std::string name);
 
-    auto restore() -> boost::leaf::result<void>;
+    auto recover() -> boost::leaf::result<void>;
 
     Folder &folder;
     std::string name;
     std::unique_ptr<File> file;
-    std::vector<Bytes> found;
+    std::vector<Bytes> recoveredRecords;
     std::uint64_t size = 0;
     std::uint64_t syncedSize = 0;
     bool failed = false;
--- a/include/sapphirespool/Storage/record.h
+++ b/include/sapphirespool/Storage/record.h
@@ -24,7 +24,7 @@
     /// Size in bytes of the leading part of the file that consists of valid records.
     std::uint64_t validSize = 0;
     /// Offset of an invalid record that a later record proves to have been synced; nothing if there is none.
-    std::optional<std::uint64_t> lostAt;
+    std::optional<std::uint64_t> corruptOffset;
 };
 
 /// Decodes the records of \p file up to the first invalid one.
--- a/lib/Storage/journal.cpp
+++ b/lib/Storage/journal.cpp
@@ -15,28 +15,28 @@
 
 constexpr auto temporarySuffix = ".new";
 
-auto corrupt(std::string_view name, std::uint64_t offset) -> StorageError
+auto corruptError(std::string_view name, std::uint64_t offset) -> StorageError
 {
     return {StorageErrorKind::Corrupt,
             "file " + std::string(name) + " lost synced data at byte " + std::to_string(offset)
                 + "; check the disk, then empty the data folder: the VM rejoins as a new replica and receives its data from the others"};
 }
 
-auto exists(Folder &folder, std::string_view name) -> boost::leaf::result<bool>
+auto fileExists(Folder &folder, std::string_view name) -> boost::leaf::result<bool>
 {
     BOOST_LEAF_AUTO(names, folder.list());
     return std::find(names.begin(), names.end(), name) != names.end();
 }
 
 /// Writes \p content to a temporary file and, once that is synced, renames it to \p name.
-auto replaceWhole(Folder &folder, std::string_view name, std::span<const std::byte> content) -> boost::leaf::result<std::unique_ptr<File>>
+auto replaceAtomically(Folder &folder, std::string_view name, std::span<const std::byte> content) -> boost::leaf::result<std::unique_ptr<File>>
 {
-    const auto temporary = std::string(name) + temporarySuffix;
-    BOOST_LEAF_AUTO(file, folder.create(temporary));
+    const auto temporaryName = std::string(name) + temporarySuffix;
+    BOOST_LEAF_AUTO(file, folder.create(temporaryName));
     BOOST_LEAF_CHECK(file->append(content));
     // If the file were renamed before it is synced, a crash could leave it empty with the old one already gone.
     BOOST_LEAF_CHECK(file->sync());
-    BOOST_LEAF_CHECK(folder.rename(temporary, name));
+    BOOST_LEAF_CHECK(folder.rename(temporaryName, name));
     BOOST_LEAF_CHECK(folder.sync());
     return file;
 }
@@ -52,23 +52,23 @@
 auto Journal::open(Folder &folder, std::string name) -> boost::leaf::result<std::unique_ptr<Journal>>
 {
     auto journal = std::unique_ptr<Journal>(new Journal(folder, std::move(name)));
-    BOOST_LEAF_CHECK(journal->restore());
+    BOOST_LEAF_CHECK(journal->recover());
     return journal;
 }
 
-auto Journal::restore() -> boost::leaf::result<void>
+auto Journal::recover() -> boost::leaf::result<void>
 {
-    BOOST_LEAF_AUTO(present, exists(this->folder, this->name));
+    BOOST_LEAF_AUTO(present, fileExists(this->folder, this->name));
     if (!present) {
         return this->replace({});
     }
     BOOST_LEAF_AUTO(content, this->folder.read(this->name));
     auto scan = scanRecords(content);
-    if (scan.lostAt) {
-        return boost::leaf::new_error(corrupt(this->name, *scan.lostAt));
+    if (scan.corruptOffset) {
+        return boost::leaf::new_error(corruptError(this->name, *scan.corruptOffset));
     }
-    this->found = std::move(scan.records);
-    BOOST_LEAF_AUTO(opened, this->folder.openAt(this->name, scan.validSize));
+    this->recoveredRecords = std::move(scan.records);
+    BOOST_LEAF_AUTO(opened, this->folder.openTruncated(this->name, scan.validSize));
     this->file = std::move(opened);
     this->size = scan.validSize;
     // The recovered records may still be only in the page cache, and the records appended next state them as synced.
@@ -77,7 +77,7 @@
 
 auto Journal::takeRecords() -> std::vector<Bytes>
 {
-    return std::exchange(this->found, {});
+    return std::exchange(this->recoveredRecords, {});
 }
 
 auto Journal::append(std::span<const std::byte> record) -> boost::leaf::result<void>
@@ -121,7 +121,7 @@
         encodeRecord(record, content.size(), 0, content);
     }
     this->failed = true;
-    BOOST_LEAF_AUTO(replaced, replaceWhole(this->folder, this->name, content));
+    BOOST_LEAF_AUTO(replaced, replaceAtomically(this->folder, this->name, content));
     this->failed = false;
     this->file = std::move(replaced);
     this->size = content.size();
@@ -133,20 +133,20 @@
 {
     auto encoded = Bytes();
     encodeRecord(content, 0, 0, encoded);
-    BOOST_LEAF_CHECK(replaceWhole(folder, name, encoded));
+    BOOST_LEAF_CHECK(replaceAtomically(folder, name, encoded));
     return {};
 }
 
 auto readFile(Folder &folder, std::string_view name) -> boost::leaf::result<std::optional<Bytes>>
 {
-    BOOST_LEAF_AUTO(present, exists(folder, name));
+    BOOST_LEAF_AUTO(present, fileExists(folder, name));
     if (!present) {
         return std::optional<Bytes>();
     }
     BOOST_LEAF_AUTO(content, folder.read(name));
     auto scan = scanRecords(content);
     if (scan.records.size() != 1 || scan.validSize != content.size()) {
-        return boost::leaf::new_error(corrupt(name, scan.validSize));
+        return boost::leaf::new_error(corruptError(name, scan.validSize));
     }
     return std::optional<Bytes>(std::move(scan.records.front()));
 }
--- a/lib/Storage/posixfolder.cpp
+++ b/lib/Storage/posixfolder.cpp
@@ -29,43 +29,43 @@
 }
 
 /// Owns a file descriptor and closes it on destruction.
-class Descriptor
+class FileDescriptor
 {
 public:
-    explicit Descriptor(int number)
-        : number(number)
+    explicit FileDescriptor(int fd)
+        : fd(fd)
     {
     }
 
-    Descriptor(Descriptor &&other) noexcept
-        : number(std::exchange(other.number, -1))
+    FileDescriptor(FileDescriptor &&other) noexcept
+        : fd(std::exchange(other.fd, -1))
     {
     }
 
-    Descriptor(const Descriptor &) = delete;
-    auto operator=(const Descriptor &) -> Descriptor & = delete;
-    auto operator=(Descriptor &&) -> Descriptor & = delete;
+    FileDescriptor(const FileDescriptor &) = delete;
+    auto operator=(const FileDescriptor &) -> FileDescriptor & = delete;
+    auto operator=(FileDescriptor &&) -> FileDescriptor & = delete;
 
-    ~Descriptor()
+    ~FileDescriptor()
     {
-        if (this->number >= 0) {
-            ::close(this->number);
+        if (this->fd >= 0) {
+            ::close(this->fd);
         }
     }
 
     [[nodiscard]] auto get() const -> int
     {
-        return this->number;
+        return this->fd;
     }
 
 private:
-    int number;
+    int fd;
 };
 
 class PosixFile : public File
 {
 public:
-    PosixFile(Descriptor descriptor, std::string name)
+    PosixFile(FileDescriptor descriptor, std::string name)
         : descriptor(std::move(descriptor))
         , name(std::move(name))
     {
@@ -95,14 +95,14 @@
     }
 
 private:
-    Descriptor descriptor;
+    FileDescriptor descriptor;
     std::string name;
 };
 
 class PosixFolder : public Folder
 {
 public:
-    PosixFolder(std::filesystem::path path, Descriptor descriptor, Descriptor lock)
+    PosixFolder(std::filesystem::path path, FileDescriptor descriptor, FileDescriptor lock)
         : path(std::move(path))
         , descriptor(std::move(descriptor))
         , lock(std::move(lock))
@@ -114,14 +114,14 @@
         return this->open(name, O_CREAT | O_TRUNC, std::nullopt);
     }
 
-    auto openAt(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> override
+    auto openTruncated(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> override
     {
         return this->open(name, 0, size);
     }
 
     auto read(std::string_view name) -> boost::leaf::result<Bytes> override
     {
-        const auto file = Descriptor(::openat(this->descriptor.get(), std::string(name).c_str(), O_RDONLY | O_CLOEXEC));
+        const auto file = FileDescriptor(::openat(this->descriptor.get(), std::string(name).c_str(), O_RDONLY | O_CLOEXEC));
         struct stat status = {};
         if (file.get() < 0 || ::fstat(file.get(), &status) != 0) {
             return boost::leaf::new_error(operationFailed("opening", name));
@@ -129,14 +129,14 @@
         auto content = Bytes(static_cast<std::size_t>(status.st_size));
         auto filled = std::size_t(0);
         while (filled < content.size()) {
-            const auto got = ::read(file.get(), content.data() + filled, content.size() - filled);
-            if (got < 0 && errno == EINTR) {
+            const auto bytesRead = ::read(file.get(), content.data() + filled, content.size() - filled);
+            if (bytesRead < 0 && errno == EINTR) {
                 continue;
             }
-            if (got <= 0) {
+            if (bytesRead <= 0) {
                 return boost::leaf::new_error(operationFailed("reading", name));
             }
-            filled += static_cast<std::size_t>(got);
+            filled += static_cast<std::size_t>(bytesRead);
         }
         return content;
     }
@@ -184,7 +184,7 @@
     auto open(std::string_view name, int flags, std::optional<std::size_t> size) -> boost::leaf::result<std::unique_ptr<File>>
     {
         const auto text = std::string(name);
-        auto file = Descriptor(::openat(this->descriptor.get(), text.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC | flags, fileMode));
+        auto file = FileDescriptor(::openat(this->descriptor.get(), text.c_str(), O_WRONLY | O_APPEND | O_CLOEXEC | flags, fileMode));
         if (file.get() < 0) {
             return boost::leaf::new_error(operationFailed("opening", name));
         }
@@ -195,8 +195,8 @@
     }
 
     std::filesystem::path path;
-    Descriptor descriptor;
-    Descriptor lock;
+    FileDescriptor descriptor;
+    FileDescriptor lock;
 };
 
 } // namespace
@@ -205,11 +205,11 @@
 {
     auto error = std::error_code();
     std::filesystem::create_directories(path, error);
-    auto folder = Descriptor(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
+    auto folder = FileDescriptor(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
     if (folder.get() < 0) {
         return boost::leaf::new_error(operationFailed("opening", path.string()));
     }
-    auto lock = Descriptor(::openat(folder.get(), lockName, O_RDWR | O_CREAT | O_CLOEXEC, fileMode));
+    auto lock = FileDescriptor(::openat(folder.get(), lockName, O_RDWR | O_CREAT | O_CLOEXEC, fileMode));
     if (lock.get() < 0) {
         return boost::leaf::new_error(operationFailed("opening", lockName));
     }
--- a/unittests/Storage/fakefolder.cpp
+++ b/unittests/Storage/fakefolder.cpp
@@ -18,7 +18,7 @@
 
     auto append(std::span<const std::byte> data) -> boost::leaf::result<void> override
     {
-        auto done = this->folder.step();
+        auto done = this->folder.beginOperation();
         // A write that fails because the disk is full leaves a part of the data in the file.
         const auto kept = done ? data.size() : data.size() / 2;
         this->content->present.insert(this->content->present.end(), data.begin(), data.begin() + static_cast<std::ptrdiff_t>(kept));
@@ -27,7 +27,7 @@
 
     auto sync() -> boost::leaf::result<void> override
     {
-        BOOST_LEAF_CHECK(this->folder.step());
+        BOOST_LEAF_CHECK(this->folder.beginOperation());
         this->content->synced = this->content->present;
         return {};
     }
@@ -37,9 +37,9 @@
     std::shared_ptr<FakeFolder::Content> content;
 };
 
-auto FakeFolder::step() -> boost::leaf::result<void>
+auto FakeFolder::beginOperation() -> boost::leaf::result<void>
 {
-    const auto number = this->count++;
+    const auto number = this->operationCount++;
     if (this->failFrom && number >= *this->failFrom) {
         return boost::leaf::new_error(StorageError{StorageErrorKind::OperationFailed, "operation failed by the test"});
     }
@@ -48,15 +48,15 @@
 
 auto FakeFolder::create(std::string_view name) -> boost::leaf::result<std::unique_ptr<File>>
 {
-    BOOST_LEAF_CHECK(this->step());
+    BOOST_LEAF_CHECK(this->beginOperation());
     auto content = std::make_shared<Content>();
     this->names[std::string(name)] = content;
     return std::unique_ptr<File>(std::make_unique<FakeFile>(*this, std::move(content)));
 }
 
-auto FakeFolder::openAt(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>>
+auto FakeFolder::openTruncated(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>>
 {
-    BOOST_LEAF_CHECK(this->step());
+    BOOST_LEAF_CHECK(this->beginOperation());
     const auto content = this->names.at(std::string(name));
     content->present.resize(size);
     return std::unique_ptr<File>(std::make_unique<FakeFile>(*this, content));
@@ -78,7 +78,7 @@
 
 auto FakeFolder::rename(std::string_view from, std::string_view to) -> boost::leaf::result<void>
 {
-    BOOST_LEAF_CHECK(this->step());
+    BOOST_LEAF_CHECK(this->beginOperation());
     const auto found = this->names.find(from);
     auto content = found->second;
     this->names.erase(found);
@@ -88,40 +88,40 @@
 
 auto FakeFolder::remove(std::string_view name) -> boost::leaf::result<void>
 {
-    BOOST_LEAF_CHECK(this->step());
+    BOOST_LEAF_CHECK(this->beginOperation());
     this->names.erase(std::string(name));
     return {};
 }
 
 auto FakeFolder::sync() -> boost::leaf::result<void>
 {
-    BOOST_LEAF_CHECK(this->step());
+    BOOST_LEAF_CHECK(this->beginOperation());
     this->durable = this->names;
     return {};
 }
 
 auto FakeFolder::failAt(std::uint64_t number) -> void
 {
-    this->failFrom = this->count + number;
+    this->failFrom = this->operationCount + number;
 }
 
-auto FakeFolder::crash(CrashLeaves leaves) -> void
+auto FakeFolder::crash(SurvivingWrites survivors) -> void
 {
     this->failFrom.reset();
     // An unsynced rename may or may not have reached the disk.
-    if (leaves == CrashLeaves::Nothing || leaves == CrashLeaves::TornTail) {
+    if (survivors == SurvivingWrites::None || survivors == SurvivingWrites::TornTail) {
         this->names = this->durable;
     }
     for (const auto &[name, content] : this->names) {
         auto &present = content->present;
         const auto &synced = content->synced;
-        if (present.size() > synced.size() && leaves == CrashLeaves::TornTail) {
+        if (present.size() > synced.size() && survivors == SurvivingWrites::TornTail) {
             present.pop_back();
         }
-        if (present.size() > synced.size() && leaves == CrashLeaves::HoleInTail) {
+        if (present.size() > synced.size() && survivors == SurvivingWrites::HoleInTail) {
             present[synced.size()] ^= std::byte(0x55);
         }
-        if (leaves == CrashLeaves::Nothing) {
+        if (survivors == SurvivingWrites::None) {
             present = synced;
         }
         content->synced = present;
@@ -136,7 +136,7 @@
 
 auto FakeFolder::operations() const -> std::uint64_t
 {
-    return this->count;
+    return this->operationCount;
 }
 
 } // namespace sapphirespool::storage
--- a/unittests/Storage/fakefolder.h
+++ b/unittests/Storage/fakefolder.h
@@ -13,13 +13,13 @@
 {
 
 /// Which unsynced operations survive a simulated crash.
-enum class CrashLeaves {
-    Nothing,
+enum class SurvivingWrites {
+    None,
     /// Unsynced appends without the last byte of each file; unsynced creations, renames and removals are lost.
     TornTail,
     /// All, with the first unsynced byte of each file corrupted, as if later blocks had reached the disk before earlier ones.
     HoleInTail,
-    Everything,
+    All,
 };
 
 /// An in-memory folder that counts its modifying operations. From a chosen operation on, all of them fail until crash().
@@ -27,7 +27,7 @@
 {
 public:
     auto create(std::string_view name) -> boost::leaf::result<std::unique_ptr<File>> override;
-    auto openAt(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> override;
+    auto openTruncated(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> override;
     auto read(std::string_view name) -> boost::leaf::result<Bytes> override;
     auto list() -> boost::leaf::result<std::vector<std::string>> override;
     auto rename(std::string_view from, std::string_view to) -> boost::leaf::result<void> override;
@@ -36,8 +36,8 @@
 
     /// Makes all operations fail after the next \p number ones.
     auto failAt(std::uint64_t number) -> void;
-    /// Simulates a crash: drops unsynced data as \p leaves says and ends the failures.
-    auto crash(CrashLeaves leaves) -> void;
+    /// Simulates a crash: drops all unsynced operations but \p survivors and ends the failures.
+    auto crash(SurvivingWrites survivors) -> void;
     /// Flips one bit of the byte at \p offset, as a bad disk would.
     auto damage(std::string_view name, std::size_t offset) -> void;
     [[nodiscard]] auto operations() const -> std::uint64_t;
@@ -53,11 +53,11 @@
     using Names = std::map<std::string, std::shared_ptr<Content>, std::less<>>;
 
     /// Counts an operation and fails it if failAt() says so.
-    auto step() -> boost::leaf::result<void>;
+    auto beginOperation() -> boost::leaf::result<void>;
 
     Names durable;
     Names names;
-    std::uint64_t count = 0;
+    std::uint64_t operationCount = 0;
     std::optional<std::uint64_t> failFrom;
 };
 
--- a/unittests/Storage/journaltest.cpp
+++ b/unittests/Storage/journaltest.cpp
@@ -19,12 +19,12 @@
     return Bytes(20, static_cast<std::byte>(value));
 }
 
-/// \return the error of \p work, if it failed
-auto errorOf(const std::function<boost::leaf::result<void>()> &work) -> std::optional<StorageError>
+/// \return the error of \p operation, if it failed
+auto errorOf(const std::function<boost::leaf::result<void>()> &operation) -> std::optional<StorageError>
 {
     return boost::leaf::try_handle_all(
-        [&work]() -> boost::leaf::result<std::optional<StorageError>> {
-            BOOST_LEAF_CHECK(work());
+        [&operation]() -> boost::leaf::result<std::optional<StorageError>> {
+            BOOST_LEAF_CHECK(operation());
             return std::optional<StorageError>();
         },
         [](const StorageError &error) {
@@ -42,25 +42,25 @@
     return {};
 }
 
-/// The last record that a run of work() synced, and the last one that it tried to append.
-struct Acknowledged
+/// The last record that a run of runWorkload() synced, and the last one that it tried to append.
+struct Progress
 {
     int synced = 0;
     int appended = 0;
 };
 
 /// Appends 12 records, syncs after every second one, and after the eighth one compacts the journal to the last four.
-auto work(Folder &folder, Acknowledged &done) -> boost::leaf::result<void>
+auto runWorkload(Folder &folder, Progress &progress) -> boost::leaf::result<void>
 {
     constexpr auto records = 12;
     constexpr auto compactAfter = 8;
     BOOST_LEAF_AUTO(journal, Journal::open(folder, "log"));
     for (auto value = 1; value <= records; ++value) {
-        done.appended = value;
+        progress.appended = value;
         BOOST_LEAF_CHECK(journal->append(record(value)));
         if (value % 2 == 0) {
             BOOST_LEAF_CHECK(journal->sync());
-            done.synced = value;
+            progress.synced = value;
         }
         if (value == compactAfter) {
             const auto kept = std::vector<Bytes>{record(5), record(6), record(7), record(8)};
@@ -71,7 +71,7 @@
 }
 
 /// Checks that a record written after a restart is recovered at the next restart, also if recovery truncated a torn write.
-auto checkGoesOn(FakeFolder &folder, std::size_t before) -> void
+auto checkAppendsAfterRestart(FakeFolder &folder, std::size_t recoveredCount) -> void
 {
     constexpr auto later = 100;
     auto records = std::vector<Bytes>();
@@ -82,11 +82,11 @@
         return recordsOf(folder, records);
     });
     REQUIRE_FALSE(error.has_value());
-    REQUIRE(records.size() == before + 1);
+    REQUIRE(records.size() == recoveredCount + 1);
     CHECK(records.back() == record(later));
 }
 
-auto checkAfterCrash(FakeFolder &folder, const Acknowledged &done) -> void
+auto checkAfterCrash(FakeFolder &folder, const Progress &progress) -> void
 {
     auto records = std::vector<Bytes>();
     const auto error = errorOf([&folder, &records] {
@@ -100,9 +100,9 @@
         CHECK((first == 1 || first == 5));
         CHECK(static_cast<int>(records.size()) == last - first + 1);
     }
-    CHECK(last >= done.synced);
-    CHECK(last <= done.appended);
-    checkGoesOn(folder, records.size());
+    CHECK(last >= progress.synced);
+    CHECK(last <= progress.appended);
+    checkAppendsAfterRestart(folder, records.size());
 }
 
 } // namespace
@@ -112,21 +112,21 @@
     // Guards against an accepted change that is gone after a restart, and against a VM that does not start.
     // Each operation fails in turn, the process ends, and the disk keeps none, a part, a part with a hole, or all of the unsynced data.
     // Recovery relies on the checksums of the records, and on files being replaced only once they are synced.
-    auto whole = FakeFolder();
-    auto unused = Acknowledged();
-    REQUIRE_FALSE(errorOf([&whole, &unused] {
-                      return work(whole, unused);
+    auto completeRun = FakeFolder();
+    auto unused = Progress();
+    REQUIRE_FALSE(errorOf([&completeRun, &unused] {
+                      return runWorkload(completeRun, unused);
                   }).has_value());
-    for (const auto leaves : {CrashLeaves::Nothing, CrashLeaves::TornTail, CrashLeaves::HoleInTail, CrashLeaves::Everything}) {
-        for (auto number = std::uint64_t(0); number < whole.operations(); ++number) {
+    for (const auto survivors : {SurvivingWrites::None, SurvivingWrites::TornTail, SurvivingWrites::HoleInTail, SurvivingWrites::All}) {
+        for (auto number = std::uint64_t(0); number < completeRun.operations(); ++number) {
             auto folder = FakeFolder();
             folder.failAt(number);
-            auto done = Acknowledged();
-            REQUIRE(errorOf([&folder, &done] {
-                        return work(folder, done);
+            auto progress = Progress();
+            REQUIRE(errorOf([&folder, &progress] {
+                        return runWorkload(folder, progress);
                     }).has_value());
-            folder.crash(leaves);
-            checkAfterCrash(folder, done);
+            folder.crash(survivors);
+            checkAfterCrash(folder, progress);
         }
     }
 }
@@ -136,9 +136,9 @@
     // Guards against a VM that acknowledged a change, has lost it, and votes as if it had never had it.
     // A bad block destroys a record in the middle of the log. The later records prove that it had been synced.
     auto folder = FakeFolder();
-    auto done = Acknowledged();
-    REQUIRE_FALSE(errorOf([&folder, &done] {
-                      return work(folder, done);
+    auto progress = Progress();
+    REQUIRE_FALSE(errorOf([&folder, &progress] {
+                      return runWorkload(folder, progress);
                   }).has_value());
     folder.damage("log", 70);
     auto records = std::vector<Bytes>();
@@ -161,7 +161,7 @@
         BOOST_LEAF_CHECK(journal->append(record(1)));
         folder.failAt(0);
         outcomes.push_back(bool(journal->sync()));
-        folder.crash(CrashLeaves::Nothing);
+        folder.crash(SurvivingWrites::None);
         outcomes.push_back(bool(journal->sync()));
         outcomes.push_back(bool(journal->append(record(2))));
         return {};
@@ -172,7 +172,7 @@
 
 TEST_CASE("replaceFile leaves the old or the new content after a failure of any operation")
 {
-    for (const auto leaves : {CrashLeaves::Nothing, CrashLeaves::TornTail, CrashLeaves::HoleInTail, CrashLeaves::Everything}) {
+    for (const auto survivors : {SurvivingWrites::None, SurvivingWrites::TornTail, SurvivingWrites::HoleInTail, SurvivingWrites::All}) {
         constexpr auto operationsOfReplace = 5;
         for (auto number = std::uint64_t(0); number < operationsOfReplace; ++number) {
             auto folder = FakeFolder();
@@ -183,7 +183,7 @@
                 return replaceFile(folder, "snapshot", record(2));
             });
             REQUIRE(replaced.has_value());
-            folder.crash(leaves);
+            folder.crash(survivors);
             REQUIRE_FALSE(errorOf([&folder, &content]() -> boost::leaf::result<void> {
                               BOOST_LEAF_ASSIGN(content, readFile(folder, "snapshot"));
                               return {};
@@ -206,8 +206,8 @@
             BOOST_LEAF_CHECK(openPosixFolder(path));
             return {};
         });
-        auto done = Acknowledged();
-        BOOST_LEAF_CHECK(work(*folder, done));
+        auto progress = Progress();
+        BOOST_LEAF_CHECK(runWorkload(*folder, progress));
         return recordsOf(*folder, records);
     });
     std::filesystem::remove_all(path);
