--- a/include/sapphirespool/Storage/error.h
+++ b/include/sapphirespool/Storage/error.h
@@ -8,7 +8,8 @@
 
 /// The kind of a storage failure. Each kind has its own remedy.
 enum class StorageErrorKind {
-    /// The operating system failed a file operation, for example because the disk is full.
+    /// The operating system refused a file operation such as a write, sync, rename or removal, for example because the disk is full. The
+    /// journal also returns it for all operations after a failed write or sync.
     OperationFailed,
     /// Another process holds the lock of the data folder.
     Locked,
--- a/lib/Storage/journal.cpp
+++ b/lib/Storage/journal.cpp
@@ -71,7 +71,7 @@
     BOOST_LEAF_AUTO(opened, this->folder.openTruncated(this->name, scan.validSize));
     this->file = std::move(opened);
     this->size = scan.validSize;
-    // The recovered records may still be only in the page cache, and the records appended next state them as synced.
+    // The recovered records may still be only in the page cache, but the records appended next state them as synced.
     return this->sync();
 }
 
--- a/unittests/Storage/fakefolder.h
+++ b/unittests/Storage/fakefolder.h
@@ -36,7 +36,7 @@
 
     /// Makes all operations fail after the next \p number ones.
     auto failAt(std::uint64_t number) -> void;
-    /// Simulates a crash: drops all unsynced operations but \p survivors and ends the failures.
+    /// Simulates a crash: drops the unsynced operations that \p survivors does not keep, and ends the failures.
     auto crash(SurvivingWrites survivors) -> void;
     /// Flips one bit of the byte at \p offset, as a bad disk would.
     auto damage(std::string_view name, std::size_t offset) -> void;
