--- a/unittests/Storage/fakefolder.h
+++ b/unittests/Storage/fakefolder.h
@@ -1,4 +1,4 @@
-// fakefolder.h: a folder in memory whose operations fail on demand and that forgets what was not synced.
+// fakefolder.h: an in-memory folder that injects failures and loses unsynced data in a simulated crash.
 #pragma once
 
 #include "sapphirespool/Storage/folder.h"
@@ -12,33 +12,33 @@
 namespace sapphirespool::storage
 {
 
-/// What a crash leaves of the operations that were not synced.
-enum class CrashLeaves {
-    Nothing,
-    /// All but the last byte of each file.
+/// Which unsynced operations survive a simulated crash.
+enum class SurvivingWrites {
+    None,
+    /// Unsynced appends without the last byte of each file; unsynced creations, renames and removals are lost.
     TornTail,
-    /// All, with the first unsynced byte wrong: later blocks reached the disk before earlier ones.
+    /// All, with the first unsynced byte of each file corrupted, as if later blocks had reached the disk before earlier ones.
     HoleInTail,
-    Everything,
+    All,
 };
 
-/// Counts its operations; the one with the chosen number fails, and all after it too.
+/// An in-memory folder that counts its modifying operations. From a chosen operation on, all of them fail until crash().
 class FakeFolder : public Folder
 {
 public:
     auto create(std::string_view name) -> boost::leaf::result<std::unique_ptr<File>> override;
-    auto openAt(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> override;
+    auto openTruncated(std::string_view name, std::size_t size) -> boost::leaf::result<std::unique_ptr<File>> override;
     auto read(std::string_view name) -> boost::leaf::result<Bytes> override;
     auto list() -> boost::leaf::result<std::vector<std::string>> override;
     auto rename(std::string_view from, std::string_view to) -> boost::leaf::result<void> override;
     auto remove(std::string_view name) -> boost::leaf::result<void> override;
     auto sync() -> boost::leaf::result<void> override;
 
-    /// Lets the operation \p number from now, from 0, fail.
+    /// Makes all operations fail after the next \p number ones.
     auto failAt(std::uint64_t number) -> void;
-    /// Drops what did not last and lets all operations succeed again.
-    auto crash(CrashLeaves leaves) -> void;
-    /// Flips a bit of a file as a bad disk would.
+    /// Simulates a crash: drops the unsynced operations that \p survivors does not keep, and ends the failures.
+    auto crash(SurvivingWrites survivors) -> void;
+    /// Flips one bit of the byte at \p offset, as a bad disk would.
     auto damage(std::string_view name, std::size_t offset) -> void;
     [[nodiscard]] auto operations() const -> std::uint64_t;
 
@@ -52,11 +52,12 @@
     };
     using Names = std::map<std::string, std::shared_ptr<Content>, std::less<>>;
 
-    auto step() -> boost::leaf::result<void>;
+    /// Counts an operation and fails it if failAt() says so.
+    auto beginOperation() -> boost::leaf::result<void>;
 
     Names durable;
     Names names;
-    std::uint64_t count = 0;
+    std::uint64_t operationCount = 0;
     std::optional<std::uint64_t> failFrom;
 };
 
