--- a/include/sapphirespool/Controller/controller.h
+++ b/include/sapphirespool/Controller/controller.h
@@ -20,7 +20,7 @@
 /// How often tick() is due.
 constexpr auto tickInterval = std::chrono::milliseconds(20);
 
-/// Changes of the configuration that are let through in a second, on average; state::ClusterState::rememberedChanges rests on it. The
+/// Changes of the configuration that are let through in a second, on average; state::ClusterState::changeLogLimit rests on it. The
 /// fleet that the design is for has 6,300 a day.
 constexpr auto changesPerSecond = std::uint32_t{20};
 
--- a/include/sapphirespool/Decisions/serviceestimate.h
+++ b/include/sapphirespool/Decisions/serviceestimate.h
@@ -29,7 +29,7 @@
     [[nodiscard]] auto mean() const -> Duration;
 
     /// \return a time that few statements exceed: the mean plus four mean deviations
-    [[nodiscard]] auto high() const -> Duration;
+    [[nodiscard]] auto upperEstimate() const -> Duration;
 
     [[nodiscard]] auto samples() const -> std::uint32_t;
 
--- a/include/sapphirespool/State/clusterstate.h
+++ b/include/sapphirespool/State/clusterstate.h
@@ -28,10 +28,10 @@
     /// The controller admits at most controller::changesPerSecond changes, so an id is kept for at least 54 minutes; clients resend for
     /// 10 minutes at most. A change that is resent after its id was evicted names an outdated base and gets a conflict, so it is never
     /// accepted twice. 65,536 ids of the maximum length take 11 MB.
-    static constexpr auto rememberedChanges = std::size_t{65'536};
+    static constexpr auto changeLogLimit = std::size_t{65'536};
     /// Number of terms of a group, the newest ones, whose start positions are kept. A position of an older term is compared with the
     /// oldest start that is kept, which at worst routes a read to the primary.
-    static constexpr auto rememberedTerms = std::size_t{256};
+    static constexpr auto termHistoryLimit = std::size_t{256};
 
     ClusterState();
     ~ClusterState() override;
--- a/lib/Decisions/serviceestimate.cpp
+++ b/lib/Decisions/serviceestimate.cpp
@@ -41,7 +41,7 @@
     return secondsToDuration(this->meanSeconds);
 }
 
-auto ServiceEstimate::high() const -> Duration
+auto ServiceEstimate::upperEstimate() const -> Duration
 {
     return secondsToDuration(this->meanSeconds + deviationFactor * this->deviationSeconds);
 }
--- a/lib/Interactive/callersession.cpp
+++ b/lib/Interactive/callersession.cpp
@@ -1,6 +1,6 @@
 #include "callersession.h"
 
-#include "runvalues.h"
+#include "sessionhelpers.h"
 
 #include "sapphirespool/Support/clock.h"
 #include "sapphirespool/Support/log.h"
--- a/lib/Interactive/connectionpool.cpp
+++ b/lib/Interactive/connectionpool.cpp
@@ -1,7 +1,7 @@
 #include "sapphirespool/Interactive/connectionpool.h"
 
 #include "meteredconnection.h"
-#include "runvalues.h"
+#include "sessionhelpers.h"
 #include "singleflight.h"
 #include "upstreamentry.h"
 
@@ -231,7 +231,7 @@
     [[nodiscard]] auto overdueLimit(const UpstreamId &upstream) const -> Duration override
     {
         const auto found = this->entries.find(upstream);
-        return found == this->entries.end() ? shortestOverdueLimit : std::max<Duration>(shortestOverdueLimit, found->second.serviceTime.high());
+        return found == this->entries.end() ? shortestOverdueLimit : std::max<Duration>(shortestOverdueLimit, found->second.serviceTime.upperEstimate());
     }
 
 private:
--- a/lib/Interactive/runvalues.cpp
+++ b/lib/Interactive/sessionhelpers.cpp
@@ -1,4 +1,4 @@
-#include "runvalues.h"
+#include "sessionhelpers.h"
 
 #include <utility>
 #include <vector>
--- a/lib/Interactive/runvalues.h
+++ b/lib/Interactive/sessionhelpers.h
@@ -1,4 +1,4 @@
-// runvalues.h: constants and factory functions shared by the session sources.
+// sessionhelpers.h: constants and factory functions shared by the session sources.
 //
 // g++ 12 destroys a braced temporary in a co_await or co_return expression twice. Such values are therefore returned by functions or
 // stored in a named variable first.
--- a/lib/Interactive/sessionplacement.cpp
+++ b/lib/Interactive/sessionplacement.cpp
@@ -1,6 +1,6 @@
 // Placement: picks the group member at which a statement runs and acquires a connection to it.
 #include "callersession.h"
-#include "runvalues.h"
+#include "sessionhelpers.h"
 
 #include "sapphirespool/Support/clock.h"
 
--- a/lib/Interactive/sessiontransaction.cpp
+++ b/lib/Interactive/sessiontransaction.cpp
@@ -1,6 +1,6 @@
 // Transactions of a caller's session: each holds one connection from its first statement to its end.
 #include "callersession.h"
-#include "runvalues.h"
+#include "sessionhelpers.h"
 
 #include "sapphirespool/Support/clock.h"
 
--- a/lib/State/clusterstate.cpp
+++ b/lib/State/clusterstate.cpp
@@ -78,7 +78,7 @@
 } // namespace
 
 ClusterState::ClusterState()
-    : content(rememberedChanges)
+    : content(changeLogLimit)
 {
     this->buildView();
 }
@@ -98,7 +98,7 @@
 
 auto ClusterState::restore(std::span<const std::byte> snapshot) -> void
 {
-    this->content = decodeContent(snapshot, rememberedChanges);
+    this->content = decodeContent(snapshot, changeLogLimit);
     this->buildView();
 }
 
@@ -256,7 +256,7 @@
     record->primaryIncarnation = command.incarnation;
     auto &history = record->view.history;
     history.push_back({command.term, command.keptUpTo});
-    if (history.size() > rememberedTerms) {
+    if (history.size() > termHistoryLimit) {
         history.erase(history.begin());
     }
     return this->advanceRevision();
--- a/tools/sapphirespool/operatorcommands.cpp
+++ b/tools/sapphirespool/operatorcommands.cpp
@@ -27,7 +27,7 @@
 
 /// Time for one request; the operator's client sends it again afterwards.
 constexpr auto requestTimeout = 5s;
-/// For how long an unanswered change is sent again; state::ClusterState::rememberedChanges covers it.
+/// For how long an unanswered change is sent again; state::ClusterState::changeLogLimit covers it.
 constexpr auto resendTime = 60s;
 constexpr auto waitInterval = 200ms;
 
--- a/unittests/State/clusterstatetest.cpp
+++ b/unittests/State/clusterstatetest.cpp
@@ -92,7 +92,7 @@
     CHECK(log.find(ChangeId("c"))->id == ChangeId("c"));
 
     auto state = ClusterState();
-    for (std::uint64_t change = 0; change <= ClusterState::rememberedChanges; ++change) {
+    for (std::uint64_t change = 0; change <= ClusterState::changeLogLimit; ++change) {
         state.execute(changeOf("change-" + std::to_string(change), change, "text", {}));
     }
     CHECK(std::holds_alternative<Conflict>(state.execute(changeOf("change-0", 0, "text", {}))));
