--- a/include/sapphirespool/Consensus/core.h
+++ b/include/sapphirespool/Consensus/core.h
@@ -18,49 +18,49 @@
 namespace sapphirespool::consensus
 {
 
-/// One replica's part in the protocol.
+/// The Raft protocol of one replica.
 ///
-/// The owner carries out the actions in their order, reports each finished Persist and SaveSnapshot by DiskSynced, and sends
-/// Timer when deadline() has come. Nothing of a Persist counts, here or at a peer, before its DiskSynced.
+/// The owner executes the actions in order, reports each completed Persist and SaveSnapshot with DiskSynced, and sends Timer once
+/// deadline() has passed. A Persist takes no effect, on this replica or on a peer, before its DiskSynced.
 class Core
 {
 public:
-    /// \param now start of the process: the replica refuses votes for one minimum election timeout, since it no longer knows when it last
-    ///            heard the leader; not if it was the leader itself
+    /// \param now start time of the process: the replica refuses votes for one minimum election timeout from here on, since the time of
+    ///            its last contact with the leader is lost; it does not wait if it was the leader itself
     Core(ReplicaId self, CoreSettings settings, Recovered recovered, std::uint64_t seed, TimePoint now);
 
     [[nodiscard]] auto handle(const CoreEvent &event, TimePoint now) -> Actions;
 
-    /// \return when the owner must send Timer
+    /// \return the time at which the owner must send Timer
     [[nodiscard]] auto deadline() const -> TimePoint;
 
-    /// \return until when no other replica can lead; the earliest time if this one does not lead
+    /// \return the time until which no other replica can be leader; the earliest time if this one is not the leader
     [[nodiscard]] auto leaderLeaseEnd() const -> TimePoint;
-    /// \return whether this replica leads and no other can lead at \p now
+    /// \return whether this replica is the leader and no other can be leader at \p now
     [[nodiscard]] auto holdsLeaderLease(TimePoint now) const -> bool;
 
     [[nodiscard]] auto role() const -> CoreRole;
     [[nodiscard]] auto term() const -> ElectionTerm;
-    /// \return for how long this leader has heard nothing from \p replica; of use while it leads
+    /// \return the time since this leader last received a reply from \p replica; only meaningful on the leader
     [[nodiscard]] auto silence(ReplicaId replica) const -> Duration;
     [[nodiscard]] auto leader() const -> std::optional<ReplicaId>;
-    /// \return when a leader was last heard, or when this process started
+    /// \return the time of the last contact with a leader, or the start time of this process
     [[nodiscard]] auto leaderHeardAt() const -> TimePoint;
-    /// \return when a quorum, this replica included, had last been heard; of use while it leads
+    /// \return the time of the last contact with a quorum, this replica included; only meaningful on the leader
     [[nodiscard]] auto quorumHeardAt() const -> TimePoint;
     [[nodiscard]] auto commitIndex() const -> LogIndex;
     [[nodiscard]] auto log() const -> const LogWindow &;
     [[nodiscard]] auto members() const -> const Members &;
-    /// \return whether this replica finds itself in the group; else it must ask to join. It may find itself in it, and no longer once
-    ///         a leader that did not commit its admission was replaced.
+    /// \return whether this replica is listed in the group; otherwise it must request to join. It may be listed and later dropped, when a
+    ///         leader is replaced before it committed the entry that adds the replica.
     [[nodiscard]] auto isMember() const -> bool;
-    /// \return whether \p learner holds all that is committed; meaningful on the leader only
+    /// \return whether \p learner holds all committed entries; only meaningful on the leader
     [[nodiscard]] auto caughtUp(ReplicaId learner) const -> bool;
-    /// \return whether a change of the group could be proposed now
+    /// \return whether a membership change can be proposed now
     [[nodiscard]] auto acceptsMemberChange() const -> bool;
 
 private:
-    /// A message that speaks of something that is not yet on the disk.
+    /// A message that depends on a write that is not yet synced.
     struct HeldSend
     {
         PersistToken token;
@@ -165,7 +165,7 @@
     HardState hard;
     LogWindow window;
     LogIndex commit;
-    /// Newest group in the log, committed or not; it counts from the moment at which it is appended.
+    /// Latest group in the log, committed or not; it takes effect as soon as it is appended.
     Members group;
     LogIndex groupIndex;
     Members committedGroup;
@@ -180,14 +180,14 @@
 
     PersistToken lastToken;
     PersistToken syncedToken;
-    /// Write of the newest hard state.
+    /// Token of the write of the latest hard state.
     PersistToken hardToken;
     bool diskFailed = false;
     std::deque<HeldSend> heldSends;
     std::deque<WrittenTo> written;
     LogIndex syncedIndex;
 
-    // Of the leader.
+    // State of a leader.
     std::map<ReplicaId, Progress> progress;
     std::map<LogIndex, RequestNumber> proposals;
     Round round;
@@ -196,7 +196,7 @@
     LogIndex termStart;
     std::vector<WaitingRead> reads;
 
-    // Of a replica that gets a snapshot.
+    // State of a replica that receives a snapshot.
     std::optional<IncomingSnapshot> incoming;
     std::shared_ptr<const Snapshot> snapshot;
 };
--- a/include/sapphirespool/Consensus/coretypes.h
+++ b/include/sapphirespool/Consensus/coretypes.h
@@ -14,7 +14,7 @@
 namespace sapphirespool::consensus
 {
 
-/// Part of a replica in its term.
+/// Role of a replica in its term.
 enum class CoreRole {
     Follower,
     /// Asks whether an election would succeed, without raising the term.
@@ -23,37 +23,37 @@
     Leader,
 };
 
-/// Figures of the protocol.
+/// Timeouts and limits of the protocol.
 struct CoreSettings
 {
-    /// Heartbeats are 10 to 20 times rarer than a round trip between zones (3 ms), so that they cost little.
+    /// 10 to 20 round trips between availability zones (3 ms), so that heartbeats add little load.
     Duration heartbeatInterval = std::chrono::milliseconds(50);
-    /// Six heartbeats may be lost or late in a row before anyone suspects the leader.
+    /// Six consecutive heartbeats may be lost or late before a follower suspects the leader.
     Duration minimumElectionTimeout = std::chrono::milliseconds(300);
-    /// Twice the minimum spreads the candidates of a group of five well beyond a round trip and a sync.
+    /// Twice the minimum spreads the election timeouts of a group of five well beyond a round trip and a sync.
     Duration maximumElectionTimeout = std::chrono::milliseconds(600);
-    /// Clocks of two VMs may differ in rate by this share. Steady clocks are slewed by 0.05 % at most; 10 % leaves room for a
-    /// virtual machine whose host corrects its clock.
+    /// Maximum relative difference between the clock rates of two VMs. Steady clocks are slewed by 0.05 % at most; 10 % leaves a
+    /// margin for a virtual machine whose host corrects its clock.
     double clockDriftBound = 0.1;
-    /// Entries not acknowledged for this long are sent again; ample for a round trip and a slow sync.
+    /// Entries not acknowledged for this long are resent; long enough for a round trip and a slow sync.
     Duration resendAfter = std::chrono::milliseconds(200);
-    /// One append message holds about this many bytes, so that it does not hold up a heartbeat on the same connection.
+    /// Approximate size limit of one append message, so that it does not delay a heartbeat on the same connection.
     std::size_t appendBytes = 64 * 1024;
-    /// Append messages on their way to one peer before the first is acknowledged.
+    /// Limit of unacknowledged append messages to one peer.
     std::size_t appendsInFlight = 8;
-    /// Bytes of a snapshot in one message, for the same reason as appendBytes.
+    /// Bytes of a snapshot in one message, limited for the same reason as appendBytes.
     std::size_t chunkBytes = 64 * 1024;
-    /// Entries kept before a snapshot, so that a follower that is a little behind needs no snapshot.
+    /// Entries retained before a snapshot, so that a follower that lags slightly needs no snapshot.
     std::uint64_t entriesKept = 1000;
-    /// Voters that the group is meant to have before it accepts commands.
+    /// Number of voters that the group must reach before it accepts commands.
     std::size_t foundingVoters = 1;
 
-    /// \return how long a leader may rely on a heartbeat, from when it sent it: voters that heard it keep their vote for the
-    ///         minimum election timeout by their clocks, which may run faster than the leader's
+    /// \return the duration of the leader lease, counted from the time at which a heartbeat is sent: voters that received it withhold
+    ///         their vote for the minimum election timeout by their own clocks, which may run faster than the leader's
     [[nodiscard]] auto leaseLength() const -> Duration;
 };
 
-/// What the disk gave back at the start.
+/// State read from disk at startup.
 struct Recovered
 {
     HardState hard;
@@ -62,9 +62,9 @@
     std::vector<Entry> entries;
 };
 
-/// Number by which the owner knows a proposal or read of its own.
+/// Number by which the owner identifies one of its proposals or reads.
 using RequestNumber = support::StrongType<struct RequestNumberTag, std::uint64_t>;
-/// Number of a Persist or SaveSnapshot, rising.
+/// Number of a Persist or SaveSnapshot, strictly increasing.
 using PersistToken = support::StrongType<struct PersistTokenTag, std::uint64_t>;
 
 /// \name Events
@@ -75,30 +75,30 @@
     Message message;
 };
 
-/// deadline() has come.
+/// deadline() has passed.
 struct Timer
 {
 };
 
-/// Messages reach the replica from now on; what was sent to it before may be lost.
+/// The replica is reachable from now on; messages sent to it earlier may be lost.
 struct Reached
 {
     ReplicaId replica;
 };
 
-/// The process that used the replica's data folder has ended, and the folder is lost: its VM runs another replica.
+/// The process that used the replica's data folder has ended and the folder is lost: its VM runs a different replica now.
 struct Ended
 {
     ReplicaId replica;
 };
 
-/// All writes up to the token are on the disk.
+/// All writes up to the token are synced to disk.
 struct DiskSynced
 {
     PersistToken token;
 };
 
-/// A write or sync failed. Nothing after it will be reported synced.
+/// A write or sync failed. No later write is reported as synced.
 struct DiskFailed
 {
 };
@@ -120,7 +120,7 @@
     RequestNumber number;
 };
 
-/// This replica is the first of a new group. The owner made sure that no other replica is of any group.
+/// This replica bootstraps a new group. The owner has verified that no other replica belongs to a group.
 struct Founded
 {
     ControlMember member;
@@ -144,17 +144,17 @@
     Message message;
 };
 
-/// Write in this order: the hard state, the cut, the entries.
+/// Write the hard state, then the truncation, then the entries.
 struct Persist
 {
     PersistToken token;
     std::optional<HardState> hard;
-    /// Entries from here on are void.
+    /// Entries from this index on are truncated.
     std::optional<LogIndex> cutFrom;
     std::vector<Entry> entries;
 };
 
-/// Replace the stored snapshot, then store of the log only what is given here.
+/// Replace the stored snapshot, then replace the stored log by the hard state and entries given here.
 struct SaveSnapshot
 {
     PersistToken token;
@@ -167,23 +167,23 @@
 struct Apply
 {
     Entry entry;
-    /// The proposal of this owner that it answers.
+    /// The owner's proposal that produced this entry, if any.
     std::optional<RequestNumber> number;
 };
 
-/// Replace the state machine by the snapshot.
+/// Replace the state of the state machine by the snapshot.
 struct Restore
 {
     std::shared_ptr<const Snapshot> snapshot;
 };
 
-/// The state applied so far holds all that was committed when the read was requested.
+/// The applied state includes all entries that were committed when the read was requested.
 struct ReadReady
 {
     RequestNumber number;
 };
 
-/// A proposal or read has no result.
+/// A proposal or read ended without a result.
 struct Failed
 {
     RequestNumber number;
@@ -194,7 +194,7 @@
 using Action = std::variant<Send, Persist, SaveSnapshot, Apply, Restore, ReadReady, Failed>;
 using Actions = std::vector<Action>;
 
-/// A snapshot of which parts have come from the leader of a term.
+/// A partially received snapshot from the leader of a term.
 struct IncomingSnapshot
 {
     ElectionTerm leaderTerm;
--- a/include/sapphirespool/Consensus/logwindow.h
+++ b/include/sapphirespool/Consensus/logwindow.h
@@ -18,38 +18,38 @@
 /// \return the index before \p index, which must not be 0
 [[nodiscard]] auto before(LogIndex index) -> LogIndex;
 
-/// Entries after a base that a snapshot covers. Invariant: indexes have no gaps, terms never fall.
+/// Log entries after a base index that a snapshot covers. Invariant: indexes have no gaps, terms never decrease.
 class LogWindow
 {
 public:
     LogWindow() = default;
 
-    /// An empty window after the entry at \p index of \p term.
+    /// Creates an empty window whose base is the entry at \p index with \p term.
     LogWindow(LogIndex index, ElectionTerm term);
 
     [[nodiscard]] auto baseIndex() const -> LogIndex;
     [[nodiscard]] auto lastIndex() const -> LogIndex;
     [[nodiscard]] auto lastTerm() const -> ElectionTerm;
 
-    /// \return the term of the entry at \p index; nothing outside of the window and its base
+    /// \return the term of the entry at \p index; empty if it is neither in the window nor its base
     [[nodiscard]] auto termAt(LogIndex index) const -> std::optional<ElectionTerm>;
 
     /// \return the entry at \p index, which must be in the window
     [[nodiscard]] auto at(LogIndex index) const -> const Entry &;
 
-    /// \return entries from \p from on, the first one always, more while their sum stays below \p bytes
+    /// \return the entries from \p from on whose total size is at most \p bytes, but at least the first one
     [[nodiscard]] auto slice(LogIndex from, std::size_t bytes) const -> std::vector<Entry>;
 
     /// \return all entries from \p from on
     [[nodiscard]] auto tail(LogIndex from) const -> std::vector<Entry>;
 
-    /// Appends the entry that follows the last.
+    /// Appends \p entry, which must directly follow the last one.
     auto append(Entry entry) -> void;
 
-    /// Drops the entries from \p from on.
+    /// Truncates the log: removes the entries from \p from on.
     auto cutFrom(LogIndex from) -> void;
 
-    /// Drops the entries up to \p index, which becomes the base.
+    /// Compacts the log: removes the entries up to \p index, which becomes the base.
     auto compactTo(LogIndex index) -> void;
 
     /// \return the last index at or below \p index whose term is at most \p term
@@ -61,7 +61,7 @@
     std::deque<Entry> entries;
 };
 
-/// \return about how many bytes \p entry takes in a message
+/// \return the approximate size of \p entry in a message, in bytes
 [[nodiscard]] auto entryBytes(const Entry &entry) -> std::size_t;
 
 } // namespace sapphirespool::consensus
--- a/include/sapphirespool/Consensus/messages.h
+++ b/include/sapphirespool/Consensus/messages.h
@@ -12,7 +12,7 @@
 namespace sapphirespool::consensus
 {
 
-/// First entry of each term; commits what earlier terms left behind.
+/// First entry of each term; committing it also commits the uncommitted entries of earlier terms.
 struct NoOp
 {
     auto operator==(const NoOp &) const -> bool = default;
@@ -30,7 +30,7 @@
 struct Members
 {
     std::vector<ControlMember> members;
-    /// Whether the group ever had all its initial voters. Before that it accepts no commands, since one lost disk could lose them.
+    /// Whether the group ever had all its initial voters. Until then it accepts no commands, since the loss of one disk could lose them.
     bool formed = false;
 
     auto operator==(const Members &) const -> bool = default;
@@ -46,19 +46,19 @@
     auto operator==(const Entry &) const -> bool = default;
 };
 
-/// What a replica must not forget besides its entries.
+/// State that a replica must persist in addition to its entries.
 struct HardState
 {
     ElectionTerm term;
-    /// Replica that got this one's vote in the term; 0 for none.
+    /// Replica that this one voted for in the term; 0 for none.
     ReplicaId vote;
-    /// Leader of the term, once this replica heard it or leads itself; 0 before.
+    /// Leader of the term, once this replica received a message from it or is the leader itself; 0 before.
     ReplicaId leader;
 
     auto operator==(const HardState &) const -> bool = default;
 };
 
-/// The state machine after the entry at index, with the group at that point.
+/// The state after the entry at index is applied, with the group at that index.
 struct Snapshot
 {
     LogIndex index;
@@ -67,10 +67,10 @@
     Bytes state;
 };
 
-/// Number of a heartbeat round of one leader, rising in a term.
+/// Number of a heartbeat round of one leader, increasing within a term.
 using Round = support::StrongType<struct RoundTag, std::uint64_t>;
 
-/// Asks for a vote; with preVote only whether one would be given.
+/// Requests a vote; with preVote, only asks whether the vote would be granted.
 struct VoteRequest
 {
     ElectionTerm term;
@@ -86,12 +86,12 @@
     bool granted = false;
 };
 
-/// Says that the leader lives. The reply renews its lease and confirms reads, so it does not wait for the disk.
+/// Sent by the leader to assert its leadership. The reply renews its lease and confirms reads, so it does not wait for the disk.
 struct Heartbeat
 {
     ElectionTerm term;
     Round round;
-    /// What is committed, as far as the leader knows the receiver to hold it.
+    /// Commit index, limited to the entries that the receiver is known to hold.
     LogIndex commit;
 };
 
@@ -115,13 +115,13 @@
 {
     ElectionTerm term;
     bool accepted = false;
-    /// Accepted: last entry that is synced and equal to the leader's. Refused: where the leader should try next.
+    /// Accepted: index of the last entry that is synced and matches the leader's. Rejected: index that the leader should try next.
     LogIndex index;
-    /// Refused: term of the receiver's entry at that index, so that the leader skips a whole term at a time.
+    /// Rejected: term of the receiver's entry at that index, so that the leader can skip a whole term at a time.
     ElectionTerm hintTerm;
 };
 
-/// A part of a snapshot for a replica that is behind the start of the log.
+/// A chunk of a snapshot, sent to a replica that lags behind the start of the leader's log.
 struct SnapshotChunk
 {
     ElectionTerm term;
@@ -133,7 +133,7 @@
     bool last = false;
 };
 
-/// Asks for the part that begins at the offset; installed once the whole is synced.
+/// Requests the chunk that begins at the offset; installed is set once the complete snapshot is synced.
 struct SnapshotReply
 {
     ElectionTerm term;
--- a/include/sapphirespool/Consensus/progress.h
+++ b/include/sapphirespool/Consensus/progress.h
@@ -1,4 +1,4 @@
-// progress.h: what a leader knows of one other replica.
+// progress.h: a leader's replication state for one other replica.
 #pragma once
 
 #include "sapphirespool/Consensus/messages.h"
@@ -11,25 +11,25 @@
 namespace sapphirespool::consensus
 {
 
-/// State of the replication to one replica.
+/// Replication state that the leader holds for one replica.
 struct Progress
 {
-    /// Last entry known to be synced there and equal to the leader's.
+    /// Last entry known to be synced on the replica and to match the leader's.
     LogIndex match;
     /// Entry to send next.
     LogIndex next;
-    /// Whether the leader still looks for the last common entry; it then sends one message at a time.
+    /// Whether the leader is still searching for the last matching entry; it then sends one message at a time.
     bool probing = true;
     std::size_t inFlight = 0;
-    /// When the replica last made progress, or was last sent the same again.
+    /// Time at which the replica last made progress, or at which entries were last resent to it.
     TimePoint movedAt{};
-    /// When it last answered anything in this term.
+    /// Time of its last reply in this term.
     TimePoint heardAt{};
-    /// Last heartbeat round that it answered.
+    /// Last heartbeat round that it acknowledged.
     Round round;
-    /// Snapshot on its way to it; kept whole while it is sent, also when a newer one is taken.
+    /// Snapshot being sent to it; retained until the transfer ends, even if a newer one is taken.
     std::shared_ptr<const Snapshot> snapshot;
-    /// Where the part last sent of it begins.
+    /// Offset of the last chunk sent.
     std::uint64_t snapshotOffset = 0;
 };
 
--- a/include/sapphirespool/Consensus/repair.h
+++ b/include/sapphirespool/Consensus/repair.h
@@ -1,4 +1,4 @@
-// repair.h: decides which change the group needs next so that it consists of the control VMs that are there.
+// repair.h: chooses the next membership change that replaces lost replicas by available control VMs.
 #pragma once
 
 #include "sapphirespool/Consensus/messages.h"
@@ -12,7 +12,7 @@
 namespace sapphirespool::consensus
 {
 
-/// Sent by a VM with an empty data folder until it is part of the group.
+/// Sent repeatedly by a VM with an empty data folder until it is a member of the group.
 struct JoinRequest
 {
     VmId vm;
@@ -20,23 +20,24 @@
     ReplicaId replica;
 };
 
-/// What a group is to look like.
+/// Target size of the group and the condition for replacing a member.
 struct RepairRules
 {
-    /// Voters at most.
+    /// Maximum number of voters.
     std::size_t voters = std::numeric_limits<std::size_t>::max();
-    /// Members at most.
+    /// Maximum number of members, learners included.
     std::size_t members = std::numeric_limits<std::size_t>::max();
-    /// Whether a member has been silent for so long that another one should take its place; empty if none ever should.
+    /// Whether a member has been unresponsive for so long that it should be replaced; empty if members are never replaced.
     std::function<bool(ReplicaId)> lost;
 };
 
-/// Chooses one change at a time: an empty VM becomes a learner; once it has caught up, the replica that it had before its disk was
-/// lost is removed; then it becomes a voter. Where the group has its voters, a learner takes the place of one that is lost for good.
+/// Chooses one membership change at a time: a VM with an empty data folder is added as a learner; once it has caught up, the replica
+/// that it ran before its disk was lost is removed; then it is promoted to voter. If the group already has all its voters, a learner
+/// replaces a voter that is lost permanently.
 ///
-/// Without it a group that lost a disk would run with one voter less until somebody noticed, and the next loss would stop it.
-/// \param caughtUp whether a learner holds all that is committed
-/// \return the next group, or nothing if none is due
+/// Without it, a group that lost a disk would run with one voter less until an operator noticed, and the next loss would stop it.
+/// \param caughtUp whether a learner holds all committed entries
+/// \return the members after the change, or empty if no change is needed
 [[nodiscard]] auto
 nextMemberChange(const Members &group, std::span<const JoinRequest> requests, const std::function<bool(ReplicaId)> &caughtUp, const RepairRules &rules = {})
     -> std::optional<std::vector<ControlMember>>;
--- a/include/sapphirespool/Consensus/replica.h
+++ b/include/sapphirespool/Consensus/replica.h
@@ -1,4 +1,4 @@
-// replica.h: one control VM's replica of the log: the pure core with its disk, its timers and its peers.
+// replica.h: one control VM's replica of the log: connects the consensus core to disk, timers and peers.
 #pragma once
 
 #include "sapphirespool/Consensus/replicatedlog.h"
@@ -16,37 +16,37 @@
 namespace sapphirespool::consensus
 {
 
-/// Seven voters bear the loss of three VMs; more only slow the commits down.
+/// Seven voters tolerate the loss of three VMs; more voters only slow down commits.
 constexpr auto usualVoters = std::size_t{7};
 
-/// How a control VM takes part.
+/// Settings of the replica on one control VM.
 struct ReplicaSettings
 {
     VmId vm;
-    /// Where the other control VMs and the proxies reach it.
+    /// Address at which the other control VMs and the proxies reach this VM.
     Endpoint endpoint;
-    /// The control VMs of the settings, this one among them. The first of them founds the group once all others are seen to be
-    /// empty; the group takes in the others, and later each of them that comes back with an empty folder, by itself.
+    /// The control VMs named in the settings, including this one. The first of them bootstraps the group once all others have answered
+    /// that they are empty. The group then adds the others automatically, and later any of them that restarts with an empty folder.
     std::vector<ControlMember> initialMembers;
     std::filesystem::path dataFolder;
     /// Seed of the election timeouts and of the identity of a new data folder; must differ between VMs and starts.
     std::uint64_t seed = 0;
-    /// Whether this may be the very first start of the system. Else the group exists somewhere, and is only ever joined.
+    /// Whether this may be the first start of the system. Otherwise the group already exists, and this replica only joins it.
     bool mayFound = true;
-    /// Whether a VM may join that neither the settings nor the group name; where the settings name only some control VMs.
+    /// Whether VMs may join that are named neither in the settings nor in the group; for settings that name only some control VMs.
     bool openToOthers = false;
-    /// Voters that the group has at most; further members are learners, ready to take the place of a voter that is lost.
+    /// Maximum number of voters; further members are learners, ready to replace a voter that is lost.
     std::size_t voters = usualVoters;
 };
 
-/// A ReplicatedLog that takes part in the group. Lives on the control thread; stops when destroyed.
+/// A ReplicatedLog that participates in the group. Runs on the control thread; stops when destroyed.
 class Replica : public ReplicatedLog
 {
 public:
-    /// \return the capability by which the other control VMs reach this replica
+    /// \return the capability through which the other control VMs call this replica
     [[nodiscard]] virtual auto peerCapability() -> capnp::Capability::Client = 0;
 
-    /// Applies all committed entries known from the disk and starts to take part.
+    /// Applies all entries known from disk to be committed and starts to participate in the group.
     virtual auto start() -> void = 0;
 };
 
--- a/include/sapphirespool/Consensus/replicastore.h
+++ b/include/sapphirespool/Consensus/replicastore.h
@@ -1,4 +1,4 @@
-// replicastore.h: what a replica keeps in its data folder.
+// replicastore.h: persistent storage of a replica in its data folder.
 #pragma once
 
 #include "sapphirespool/Consensus/coretypes.h"
@@ -13,16 +13,16 @@
 namespace sapphirespool::consensus
 {
 
-/// The identity file, the journal of the log and the newest snapshot. Failures carry a storage::StorageError.
+/// Stores the identity file, the journal of the log and the latest snapshot. Failures carry a storage::StorageError.
 class ReplicaStore
 {
 public:
-    /// Opens \p folder, which must outlive the store; an empty one becomes that of \p vm and \p newReplica.
+    /// Opens \p folder, which must outlive the store; an empty folder is initialized for \p vm and \p newReplica.
     [[nodiscard]] static auto open(storage::Folder &folder, const VmId &vm, ReplicaId newReplica) -> boost::leaf::result<std::unique_ptr<ReplicaStore>>;
 
     [[nodiscard]] auto replica() const -> ReplicaId;
 
-    /// \return what the folder held; empty after the first call
+    /// \return the state read from the folder; empty after the first call
     [[nodiscard]] auto takeRecovered() -> Recovered;
 
     /// Writes without a sync.
--- a/include/sapphirespool/Consensus/statemachine.h
+++ b/include/sapphirespool/Consensus/statemachine.h
@@ -1,4 +1,4 @@
-// statemachine.h: what the replicated log drives.
+// statemachine.h: interface of the state machine to which the replicated log applies its entries.
 #pragma once
 
 #include "sapphirespool/Support/types.h"
@@ -10,15 +10,15 @@
 namespace sapphirespool::consensus
 {
 
-/// Number of an entry of the control group's replicated log, from 1.
+/// Index of an entry in the control group's replicated log, starting at 1.
 using LogIndex = support::StrongType<struct LogIndexTag, std::uint64_t>;
-/// Term of a leader of the control group. It has nothing to do with the Term of a database group.
+/// Raft term of the control group. Unrelated to the Term of a database group.
 using ElectionTerm = support::StrongType<struct ElectionTermTag, std::uint64_t>;
 
 /// An encoded command, result or snapshot.
 using Bytes = std::vector<std::byte>;
 
-/// State that every control VM builds from the same entries in the same order. It reads no clock and no random number.
+/// Deterministic state that every control VM builds from the same entries in the same order. It must not read a clock or a random number.
 class StateMachine
 {
 public:
@@ -28,13 +28,13 @@
     virtual ~StateMachine() = default;
 
     /// Applies a committed command.
-    /// \return the result for the proposer, the same on every control VM
+    /// \return the result for the proposer, identical on every control VM
     virtual auto apply(LogIndex index, std::span<const std::byte> command) -> Bytes = 0;
 
-    /// \return the whole state
+    /// \return the complete state, encoded
     [[nodiscard]] virtual auto snapshot() const -> Bytes = 0;
 
-    /// Replaces the state by one that snapshot() gave.
+    /// Replaces the state by one that snapshot() returned.
     virtual auto restore(std::span<const std::byte> snapshot) -> void = 0;
 };
 
--- a/lib/Consensus/core.cpp
+++ b/lib/Consensus/core.cpp
@@ -49,7 +49,7 @@
     this->reloadMembers();
     this->resetElectionDeadline();
     if (this->hard.leader == self) {
-        // The lease that this replica held ended with its process, and it upheld no other one: there is nothing to wait for.
+        // This replica's own lease ended with its process, and it acknowledged no other leader's: it need not wait before an election.
         this->heardLeader = now - this->settings.minimumElectionTimeout;
         this->electionDeadline = now;
     }
@@ -193,8 +193,8 @@
         }
         return;
     }
-    // A leader that a partition cut off would keep its callers waiting for commits that cannot come. Without a quorum it
-    // steps down, and they hear at once that it does not lead.
+    // A partitioned leader would keep its callers waiting for commits that cannot happen. Without contact to a quorum it steps
+    // down, so that callers receive NotLeader immediately.
     if (this->quorumHeardAt() < this->now - this->settings.maximumElectionTimeout) {
         this->becomeFollower(this->hard.term, std::nullopt);
         return;
@@ -232,8 +232,8 @@
 
 auto Core::onDiskFailed() -> void
 {
-    // After a failed sync the operating system may have dropped the pages, and a second sync would report success without
-    // them: an acknowledged entry would be missing after a restart. So nothing is acknowledged until the process is started anew.
+    // After a failed sync the operating system may have dropped the dirty pages, and a second sync would succeed without
+    // them: an acknowledged entry would be missing after a restart. So nothing is acknowledged until the process restarts.
     this->diskFailed = true;
     this->heldSends.clear();
     this->written.clear();
@@ -273,8 +273,8 @@
 
 auto Core::isCurrent(const HeldSend &held) const -> bool
 {
-    // An acknowledgement of an earlier term could count for entries that were cut since, and a lost entry would be taken
-    // as committed.
+    // An acknowledgement from an earlier term could be counted for entries that were truncated since, and a lost entry would be
+    // treated as committed.
     return held.term == this->hard.term;
 }
 
--- a/lib/Consensus/formation.cpp
+++ b/lib/Consensus/formation.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/// Several times the interval at which requests are repeated.
-constexpr auto requestLife = std::chrono::seconds(3);
+/// Several times the interval at which join requests are repeated.
+constexpr auto joinRequestLifetime = std::chrono::seconds(3);
 
 auto contains(const std::vector<ControlMember> &members, const VmId &vm) -> bool
 {
@@ -58,13 +58,13 @@
 
 auto Formation::requests(TimePoint now) const -> std::vector<JoinRequest>
 {
-    auto lately = std::vector<JoinRequest>();
+    auto recent = std::vector<JoinRequest>();
     for (const auto &[vm, dated] : this->wanting) {
-        if (now - dated.at < requestLife) {
-            lately.push_back(dated.request);
+        if (now - dated.at < joinRequestLifetime) {
+            recent.push_back(dated.request);
         }
     }
-    return lately;
+    return recent;
 }
 
 } // namespace sapphirespool::consensus
--- a/lib/Consensus/logwindow.cpp
+++ b/lib/Consensus/logwindow.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 
-/// Index, term and the frame around an entry in a message.
+/// Approximate size of an entry's index, term and framing in a message.
 constexpr auto entryOverhead = std::size_t(48);
-/// A member's identity, name and endpoint in a message, roughly.
+/// Approximate size of a member's identity, name and endpoint in a message.
 constexpr auto memberBytes = std::size_t(64);
 
 } // namespace
@@ -24,7 +24,7 @@
 
 auto before(LogIndex index) -> LogIndex
 {
-    assert(index.value() > 0 && "an index that has a predecessor");
+    assert(index.value() > 0 && "index 0 has no predecessor");
     return LogIndex(index.value() - 1);
 }
 
@@ -70,7 +70,7 @@
 
 auto LogWindow::at(LogIndex index) const -> const Entry &
 {
-    assert(index > this->base && index <= this->lastIndex() && "an index in the window");
+    assert(index > this->base && index <= this->lastIndex() && "index outside of the window");
     return this->entries[index.value() - this->base.value() - 1];
 }
 
@@ -100,14 +100,14 @@
 
 auto LogWindow::append(Entry entry) -> void
 {
-    assert(entry.index == this->lastIndex().next() && "no gap in the log");
-    assert(entry.term >= this->lastTerm() && "terms never fall along the log");
+    assert(entry.index == this->lastIndex().next() && "entry does not follow the last one");
+    assert(entry.term >= this->lastTerm() && "terms must not decrease along the log");
     this->entries.push_back(std::move(entry));
 }
 
 auto LogWindow::cutFrom(LogIndex from) -> void
 {
-    assert(from > this->base && "a cut above the base");
+    assert(from > this->base && "cannot truncate entries at or below the base");
     while (this->lastIndex() >= from) {
         this->entries.pop_back();
     }
@@ -115,7 +115,7 @@
 
 auto LogWindow::compactTo(LogIndex index) -> void
 {
-    assert(index <= this->lastIndex() && "compaction inside of the log");
+    assert(index <= this->lastIndex() && "cannot compact past the end of the log");
     while (this->base < index) {
         this->base = this->base.next();
         this->baseTerm = this->entries.front().term;
--- a/lib/Consensus/membership.cpp
+++ b/lib/Consensus/membership.cpp
@@ -33,8 +33,8 @@
 
 auto Core::acceptsMemberChange() const -> bool
 {
-    // Two changes under way at once could have quorums that do not meet. A change of an earlier term that is not committed
-    // could come back beside a new one; an own entry committed settles it.
+    // Two concurrent changes could have quorums that do not intersect. An uncommitted change of an earlier term could still be
+    // committed alongside a new one; committing an entry of the current term rules this out.
     return this->currentRole == CoreRole::Leader && this->commit >= this->groupIndex && this->commit >= this->termStart;
 }
 
@@ -67,7 +67,7 @@
         if (!member.voter || isVoterOf(this->group, member.replica)) {
             continue;
         }
-        // An empty voter raises the quorum without holding anything: the loss of one more VM would stop all commits.
+        // A voter without the log raises the quorum but cannot acknowledge entries yet: the loss of one more VM would stop all commits.
         if (find(this->group, member.replica) == nullptr || !this->caughtUp(member.replica)) {
             return false;
         }
@@ -100,7 +100,7 @@
 
 auto Core::onFounded(const Founded &founded) -> void
 {
-    assert(this->window.lastIndex() == LogIndex() && this->group.members.empty() && "only an empty replica founds a group");
+    assert(this->window.lastIndex() == LogIndex() && this->group.members.empty() && "only an empty replica may bootstrap a group");
     this->hard = HardState{ElectionTerm(1), ReplicaId(), ReplicaId()};
     const auto group = Members{{founded.member}, this->settings.foundingVoters <= 1};
     this->window.append(Entry{LogIndex(1), this->hard.term, group});
@@ -141,7 +141,7 @@
             continue;
         }
         auto peer = Progress();
-        // A new replica is sent the last entry at once: its refusal tells where it stands, also if nothing more is ever appended.
+        // The last entry is sent to a new replica immediately: its rejection reports its last index, even if nothing more is appended.
         peer.next = std::max(this->window.lastIndex(), this->window.baseIndex().next());
         peer.heardAt = this->now;
         this->progress.emplace(member.replica, std::move(peer));
--- a/lib/Consensus/repair.cpp
+++ b/lib/Consensus/repair.cpp
@@ -19,7 +19,7 @@
     return rest;
 }
 
-/// \return another replica of the VM of \p member, left from before its disk was lost
+/// \return the replica that the VM of \p member ran before its disk was lost, if it is still listed
 auto formerReplica(const MemberList &members, const ControlMember &member) -> const ControlMember *
 {
     const auto found = std::find_if(members.begin(), members.end(), [&member](const ControlMember &other) {
@@ -52,7 +52,7 @@
     return static_cast<std::size_t>(count);
 }
 
-/// \return a member that is lost and is a voter or not, as asked
+/// \return a lost member whose voter flag equals \p voter
 auto lostMember(const MemberList &members, bool voter, const RepairRules &rules) -> const ControlMember *
 {
     if (!rules.lost) {
@@ -99,7 +99,7 @@
             continue;
         }
         auto next = group.members;
-        // A learner of the same VM is of a disk that was lost before it became a voter.
+        // A learner of the same VM belongs to a disk that was lost before the learner was promoted.
         std::erase_if(next, [&request](const ControlMember &member) {
             return member.vm == request.vm && !member.voter;
         });
--- a/lib/Consensus/snapshots.cpp
+++ b/lib/Consensus/snapshots.cpp
@@ -9,9 +9,9 @@
 
 auto Core::onSnapshotTaken(const SnapshotTaken &taken) -> void
 {
-    assert(taken.index == this->commit && "the owner applies what is committed at once");
+    assert(taken.index == this->commit && "the owner must apply committed entries immediately");
     const auto term = this->window.termAt(taken.index);
-    assert(term && "what is committed is in the window or is its base");
+    assert(term && "the last committed entry must be in the window or be its base");
     this->snapshot = std::make_shared<const Snapshot>(Snapshot{taken.index, *term, this->committedGroup, taken.state});
     const auto kept = std::min(this->settings.entriesKept, taken.index.value());
     const auto base = LogIndex(taken.index.value() - kept);
@@ -52,7 +52,7 @@
         this->sendWhenSynced(from, SnapshotReply{this->hard.term, chunk.snapshotIndex, 0, true});
         return;
     }
-    // Parts of two leaders' snapshots of the same index may differ in their encoding and must not be joined.
+    // Two leaders' snapshots of the same index may be encoded differently, so their chunks must not be combined.
     const auto continues = this->incoming && this->incoming->leaderTerm == chunk.term && this->incoming->snapshot.index == chunk.snapshotIndex;
     if (!continues) {
         this->incoming = IncomingSnapshot{chunk.term, Snapshot{chunk.snapshotIndex, chunk.snapshotTerm, chunk.members, {}}};
