--- a/include/sapphirespool/Consensus/core.h
+++ b/include/sapphirespool/Consensus/core.h
@@ -21,7 +21,7 @@
 /// The Raft protocol of one replica.
 ///
 /// The owner executes the actions in order, reports each completed Persist and SaveSnapshot with DiskSynced, and sends Timer once
-/// deadline() has passed. A Persist takes no effect, on this replica or on a peer, before its DiskSynced.
+/// deadline() has passed. Nothing that a Persist writes is acknowledged to a peer or counted here before its DiskSynced.
 class Core
 {
 public:
@@ -134,7 +134,7 @@
     auto onFounded(const Founded &founded) -> void;
     auto reloadMembers() -> void;
     auto reloadProgress() -> void;
-    auto mayBecome(const Members &next) const -> bool;
+    auto isPermittedChange(const Members &next) const -> bool;
 
     // snapshots.cpp
     auto onSnapshotTaken(const SnapshotTaken &taken) -> void;
--- a/include/sapphirespool/Consensus/progress.h
+++ b/include/sapphirespool/Consensus/progress.h
@@ -21,7 +21,8 @@
     /// Whether the leader is still searching for the last matching entry; it then sends one message at a time.
     bool probing = true;
     std::size_t inFlight = 0;
-    /// Time at which the replica last made progress, or at which entries were last resent to it.
+    /// Start of the resend timeout: the time of the replica's last progress, of the first message after an idle phase, or of the last
+    /// resend or snapshot chunk.
     TimePoint movedAt{};
     /// Time of its last reply in this term.
     TimePoint heardAt{};
--- a/include/sapphirespool/Consensus/repair.h
+++ b/include/sapphirespool/Consensus/repair.h
@@ -27,7 +27,7 @@
     std::size_t voters = std::numeric_limits<std::size_t>::max();
     /// Maximum number of members, learners included.
     std::size_t members = std::numeric_limits<std::size_t>::max();
-    /// Whether a member has been unresponsive for so long that it should be replaced; empty if members are never replaced.
+    /// Whether a member has been unresponsive for so long that another one should replace it; empty if members are never replaced.
     std::function<bool(ReplicaId)> lost;
 };
 
--- a/include/sapphirespool/Consensus/replica.h
+++ b/include/sapphirespool/Consensus/replica.h
@@ -17,7 +17,7 @@
 {
 
 /// Seven voters tolerate the loss of three VMs; more voters only slow down commits.
-constexpr auto usualVoters = std::size_t{7};
+constexpr auto defaultVoterCount = std::size_t{7};
 
 /// Settings of the replica on one control VM.
 struct ReplicaSettings
@@ -36,7 +36,7 @@
     /// Whether VMs may join that are named neither in the settings nor in the group; for settings that name only some control VMs.
     bool openToOthers = false;
     /// Maximum number of voters; further members are learners, ready to replace a voter that is lost.
-    std::size_t voters = usualVoters;
+    std::size_t voters = defaultVoterCount;
 };
 
 /// A ReplicatedLog that participates in the group. Runs on the control thread; stops when destroyed.
@@ -46,7 +46,8 @@
     /// \return the capability through which the other control VMs call this replica
     [[nodiscard]] virtual auto peerCapability() -> capnp::Capability::Client = 0;
 
-    /// Applies all entries known from disk to be committed and starts to participate in the group.
+    /// Starts to participate in the group: arms the timers and begins to form or join a group. Entries read from disk are applied once
+    /// they are known to be committed.
     virtual auto start() -> void = 0;
 };
 
--- a/lib/Consensus/membership.cpp
+++ b/lib/Consensus/membership.cpp
@@ -45,8 +45,8 @@
         return false;
     }
     const auto &peer = found->second;
-    const auto lately = this->now - peer.heardAt < this->settings.minimumElectionTimeout;
-    return lately && peer.match >= this->commit && peer.match >= this->termStart;
+    const auto hasRecentContact = this->now - peer.heardAt < this->settings.minimumElectionTimeout;
+    return hasRecentContact && peer.match >= this->commit && peer.match >= this->termStart;
 }
 
 auto Core::silence(ReplicaId replica) const -> Duration
@@ -55,7 +55,7 @@
     return found == this->progress.end() ? Duration(0) : this->now - found->second.heardAt;
 }
 
-auto Core::mayBecome(const Members &next) const -> bool
+auto Core::isPermittedChange(const Members &next) const -> bool
 {
     auto changes = std::size_t(0);
     for (const auto &member : this->group.members) {
@@ -87,7 +87,7 @@
         return;
     }
     auto next = Members{proposed.members, this->group.formed};
-    if (!this->acceptsMemberChange() || !this->mayBecome(next)) {
+    if (!this->acceptsMemberChange() || !this->isPermittedChange(next)) {
         this->actions.emplace_back(Failed{proposed.number, ProposalFailure::ChangeInProgress});
         return;
     }
