--- a/lib/Consensus/codec.cpp
+++ b/lib/Consensus/codec.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// A snapshot is bounded by the memory for control state, 128 MB, not by the default of the reader.
+/// Lifts the default traversal limit: the memory for control state, 128 MB, already bounds the size of a snapshot.
 auto readerOptions() -> capnp::ReaderOptions
 {
     auto options = capnp::ReaderOptions();
@@ -39,7 +39,7 @@
     return group;
 }
 
-/// Writes the body of each kind of message.
+/// Encodes the body of a message, one overload for each message type.
 class BodyWriter
 {
 public:
--- a/lib/Consensus/codec.h
+++ b/lib/Consensus/codec.h
@@ -1,4 +1,4 @@
-// codec.h: entries, messages and files of a replica in Cap'n Proto.
+// codec.h: Cap'n Proto encoding of log entries, messages and the files of a replica.
 #pragma once
 
 #include "sapphirespool/Consensus/messages.h"
@@ -25,10 +25,10 @@
 [[nodiscard]] auto toBytes(capnp::Data::Reader data) -> Bytes;
 [[nodiscard]] auto toData(std::span<const std::byte> bytes) -> capnp::Data::Reader;
 
-/// \return the message as the bytes of a file or record
+/// \return the message serialized as the contents of a file or journal record
 [[nodiscard]] auto flatten(capnp::MessageBuilder &message) -> Bytes;
 
-/// Bytes of a record, copied to the alignment that Cap'n Proto reads.
+/// Copy of a serialized record with the word alignment that Cap'n Proto requires.
 class AlignedWords
 {
 public:
--- a/lib/Consensus/diskthread.cpp
+++ b/lib/Consensus/diskthread.cpp
@@ -52,7 +52,7 @@
 
 auto DiskThread::run(std::vector<DiskWrite> batch) -> kj::Promise<DiskOutcome>
 {
-    assert(!batch.empty() && "a batch to write");
+    assert(!batch.empty() && "a batch must not be empty");
     auto outcome = kj::newPromiseAndFulfiller<DiskOutcome>();
     this->waiting.push_back(kj::mv(outcome.fulfiller));
     {
--- a/lib/Consensus/diskthread.h
+++ b/lib/Consensus/diskthread.h
@@ -1,4 +1,4 @@
-// diskthread.h: writes and syncs of a replica, off the control thread.
+// diskthread.h: writes and syncs a replica's log and snapshots on a thread of its own.
 #pragma once
 
 #include "sapphirespool/Consensus/replicastore.h"
@@ -20,26 +20,26 @@
 namespace sapphirespool::consensus
 {
 
-/// One write of the core.
+/// A write that the core requested.
 using DiskWrite = std::variant<Persist, SaveSnapshot>;
 
-/// How a batch ended: the token up to which all is synced, or why the disk failed.
+/// Result of a batch: the token up to which all writes are synced, or the storage error.
 using DiskOutcome = std::variant<PersistToken, storage::StorageError>;
 
-/// Runs batches of writes, one sync for each, in their order.
+/// Writes batches in the order of submission, with one sync for each batch.
 ///
-/// A sync takes from a tenth of a millisecond to a second on a busy disk. On the control thread it would hold up heartbeats, and the
-/// followers would elect another leader although this one lives.
+/// A sync takes from a tenth of a millisecond to a second on a busy disk. On the control thread it would delay heartbeats, and the
+/// followers would elect another leader although the current one is alive.
 class DiskThread
 {
 public:
-    /// Call on the thread of a KJ loop, which also makes all other calls and destroys the object.
+    /// Must be constructed, called and destroyed on the same thread, which runs a KJ event loop.
     DiskThread(std::unique_ptr<ReplicaStore> store, kj::LowLevelAsyncIoProvider &lowLevel);
     ~DiskThread();
     DiskThread(const DiskThread &) = delete;
     auto operator=(const DiskThread &) -> DiskThread & = delete;
 
-    /// Writes \p batch, which is not empty, and syncs it.
+    /// Writes and syncs \p batch, which must not be empty.
     auto run(std::vector<DiskWrite> batch) -> kj::Promise<DiskOutcome>;
 
 private:
@@ -52,10 +52,10 @@
     std::mutex mutex;
     std::condition_variable wake;
     std::deque<std::vector<DiskWrite>> batches;
-    /// How batches ended, in their order, until the loop takes them.
+    /// Results in the order of the batches, until the event loop delivers them. Guarded by the mutex.
     std::vector<DiskOutcome> outcomes;
     bool stopping = false;
-    /// Of the loop: who waits for outcomes, in the order of the batches.
+    /// Fulfillers of the pending results, in the order of the batches. Used on the event loop thread only.
     std::deque<kj::Own<kj::PromiseFulfiller<DiskOutcome>>> waiting;
     rpc::LoopSignal ended;
     kj::Promise<void> outcomeTask;
--- a/lib/Consensus/election.cpp
+++ b/lib/Consensus/election.cpp
@@ -9,7 +9,7 @@
 
 auto Core::electionTimeout() -> Duration
 {
-    // Randomised, so that two candidates rarely split the votes again and again.
+    // Randomized, so that two candidates rarely split the vote repeatedly.
     auto spread = std::uniform_int_distribution<Duration::rep>(this->settings.minimumElectionTimeout.count(), this->settings.maximumElectionTimeout.count());
     return Duration(spread(this->random));
 }
@@ -21,8 +21,9 @@
 
 auto Core::heardLeaderLately() const -> bool
 {
-    // A leader counts on its lease for as long as a quorum keeps its votes. A voter that gave its vote earlier would let a
-    // second leader arise while the first still answers, and a caller could read or get acknowledged by the old one.
+    // The leader's lease relies on a quorum that grants no other vote before the minimum election timeout. A voter that granted one
+    // earlier would allow a second leader while the first still answers, and a caller could read from the old leader or get an
+    // acknowledgement from it.
     if (this->currentRole == CoreRole::Leader) {
         return true;
     }
@@ -31,8 +32,9 @@
 
 auto Core::keepsVoteFrom(ReplicaId candidate, ElectionTerm asked) const -> bool
 {
-    // The leader of this replica's term that asks for a later one leads no more, nor will it in its old term: the one lease that this
-    // replica may have upheld is over. After a restart of all VMs the others would else wait out a lease whose holder stands before them.
+    // A leader of this replica's term that requests a vote for a later term has stepped down and never leads its old term again, so the
+    // only lease that this replica may have extended has ended. Otherwise, after a restart of all VMs, the voters would wait for the
+    // expiry of a lease whose holder is the candidate itself.
     const auto isFormerLeader = this->hard.leader == candidate && asked > this->hard.term && this->currentRole != CoreRole::Leader;
     return !isFormerLeader && this->heardLeaderLately();
 }
@@ -47,8 +49,8 @@
 
 auto Core::logCovers(const VoteRequest &request) const -> bool
 {
-    // A candidate without an entry that this replica acknowledged could overwrite it. The quorum that acknowledged it meets
-    // each quorum of votes, so one such refusal is enough.
+    // A candidate that lacks an entry which this replica acknowledged could overwrite it. The quorum that acknowledged the entry
+    // intersects each quorum of votes, so one such refusal is enough.
     if (request.lastTerm != this->window.lastTerm()) {
         return request.lastTerm > this->window.lastTerm();
     }
@@ -64,7 +66,8 @@
     const auto keepsVote = this->keepsVoteFrom(from, request.term);
     const auto willing = !this->diskFailed && !keepsVote && this->logCovers(request);
     if (request.preVote) {
-        // Without this round a replica that was cut off would come back with a raised term and depose a leader that all others hear.
+        // Without the pre-vote, a replica that returns from a partition would have a higher term and depose a leader that all others
+        // still reach.
         const auto granted = willing && request.term > this->hard.term;
         this->send(from, VoteReply{granted ? request.term : this->hard.term, true, granted});
         return;
@@ -85,7 +88,7 @@
         this->persistHardState();
     }
     this->resetElectionDeadline();
-    // Sent before the sync, the vote could be forgotten in a crash and given to another candidate of the same term.
+    // A vote sent before the sync could be lost in a crash, and the replica could then vote for another candidate in the same term.
     this->sendWhenSynced(from, VoteReply{this->hard.term, false, true});
 }
 
@@ -164,7 +167,8 @@
 
 auto Core::onReached(ReplicaId replica) -> void
 {
-    // After a start of all VMs the first round finds nobody connected. Only the next one would find them, an election timeout later.
+    // When all VMs start together, no peer is connected yet when the first vote requests are sent. Without a request on connection,
+    // peers would get one only in the next campaign, an election timeout later.
     const auto asks = this->currentRole == CoreRole::PreCandidate || this->currentRole == CoreRole::Candidate;
     if (asks && this->isVoter(replica) && !this->votes.contains(replica)) {
         this->askForVote(replica);
@@ -173,15 +177,15 @@
 
 auto Core::becomeLeader() -> void
 {
-    assert(this->currentRole == CoreRole::Candidate && "only an elected candidate leads");
+    assert(this->currentRole == CoreRole::Candidate && "only a candidate becomes leader");
     this->currentRole = CoreRole::Leader;
     this->knownLeader = this->self;
     this->progress.clear();
     this->roundSent.clear();
     this->round = Round();
     this->reloadProgress();
-    // Entries of earlier terms cannot be committed by counting replicas: a later leader could still overwrite them. The first
-    // entry of the own term commits them along with itself.
+    // Entries of earlier terms cannot be committed by counting replicas, as a later leader could still overwrite them. The first
+    // entry of the leader's own term commits them along with itself.
     this->noteLeader(this->self);
     this->appendOwn(NoOp(), std::nullopt);
     this->termStart = this->window.lastIndex();
@@ -220,7 +224,7 @@
     if (term < this->hard.term) {
         return false;
     }
-    assert((term > this->hard.term || this->currentRole != CoreRole::Leader) && "one leader per term");
+    assert((term > this->hard.term || this->currentRole != CoreRole::Leader) && "a term has at most one leader");
     if (term > this->hard.term || this->currentRole != CoreRole::Follower || this->knownLeader != from) {
         this->becomeFollower(term, from);
     }
@@ -232,12 +236,13 @@
 
 auto Core::onEnded(ReplicaId replica) -> void
 {
-    // A replica that has heard the leader since its own start does not believe it: the word may be old, of an identity that the VM had before
-    // the leader's, and the lease may live. Before the start of this process no such word can have come.
+    // Ignored by a replica that has had contact with the leader since its own start: the report may be stale, from an identity that the
+    // VM had before the leader's, and the lease may still be valid. No such report can date from before the start of this process.
     if (this->hard.leader != replica || this->knownLeader || this->currentRole != CoreRole::Follower) {
         return;
     }
-    // The lease ended with the leader's process. Other voters learn the same at the same time; the spread keeps them from asking at once.
+    // The lease ended with the leader's process. Other voters are notified at the same time; the random delay keeps them from
+    // campaigning at once.
     this->heardLeader = this->now - this->settings.minimumElectionTimeout;
     auto spread = std::uniform_int_distribution<Duration::rep>(0, this->settings.heartbeatInterval.count());
     this->electionDeadline = std::min(this->electionDeadline, this->now + Duration(spread(this->random)));
--- a/lib/Consensus/formation.h
+++ b/lib/Consensus/formation.h
@@ -1,4 +1,4 @@
-// formation.h: decides when a VM founds the group, and keeps the requests of those that want to join it.
+// formation.h: decides when a VM bootstraps the Raft group, and stores the requests to join it.
 #pragma once
 
 #include "sapphirespool/Consensus/repair.h"
@@ -11,26 +11,26 @@
 namespace sapphirespool::consensus
 {
 
-/// The first VM of the settings founds the group as its only voter, once each other one has said that it is of no group either; the
-/// others then join like any VM that comes back with an empty disk. So two VMs can never found two groups, and a first VM that lost
-/// its disk cannot found a second one: some other VM is of the first.
+/// The first VM of the settings bootstraps the group as its only voter, once each other VM of the settings has answered that it belongs
+/// to no group either. The others then join like any VM that restarts with an empty disk. So two VMs can never bootstrap two groups,
+/// and a first VM that lost its disk cannot bootstrap a second one, as some other VM still belongs to the first group.
 class Formation
 {
 public:
-    /// \param mayFound whether this may be the very first start of the system
-    /// \param openToOthers whether VMs may join that neither the settings nor the group name
+    /// \param mayFound whether this may be the first start of the whole system
+    /// \param openToOthers whether VMs may join that are listed neither in the settings nor in the group
     Formation(VmId self, std::vector<ControlMember> initialMembers, bool mayFound = true, bool openToOthers = false);
 
-    /// Notes that \p vm answered whether it is of no group.
+    /// Records the answer of \p vm to a join request. \p empty says whether it belongs to no group.
     auto noteAnswer(const VmId &vm, bool empty) -> void;
 
-    /// \return whether this VM has to found the group; meaningful while it is of none
+    /// \return whether this VM must bootstrap the group; meaningful only while it belongs to none
     [[nodiscard]] auto shouldFound() const -> bool;
 
-    /// Notes a request to join. One of a VM that is neither in the settings nor in \p group is dropped, unless others may join.
+    /// Records a request to join. Drops it if the VM is neither in the settings nor in \p group, unless other VMs may join.
     auto noteRequest(const JoinRequest &request, const Members &group, TimePoint now) -> void;
 
-    /// \return the requests that were repeated lately
+    /// \return the requests that were repeated recently
     [[nodiscard]] auto requests(TimePoint now) const -> std::vector<JoinRequest>;
 
 private:
--- a/lib/Consensus/heartbeat.cpp
+++ b/lib/Consensus/heartbeat.cpp
@@ -28,8 +28,8 @@
         return;
     }
     this->advanceCommit(std::min(heartbeat.commit, this->window.lastIndex()));
-    // The reply upholds the leader's lease. Sent before the disk knows the leader, it could be forgotten in a crash, and this replica would
-    // give its vote to the leader before, as if no other one could hold a lease.
+    // The reply extends the leader's lease. If it were sent before the leader's identity is synced, a crash could lose that identity,
+    // and this replica would vote for the previous leader as if no other replica could hold a lease.
     this->sendAfter(this->hardToken, from, HeartbeatReply{this->hard.term, heartbeat.round});
 }
 
@@ -87,7 +87,7 @@
 
 auto Core::leaderLeaseEnd() const -> TimePoint
 {
-    // Before an entry of its own term is committed a leader may not yet know all that was committed before it.
+    // Until an entry of its own term is committed, a leader may not know the commit index of earlier terms.
     if (this->currentRole != CoreRole::Leader || this->commit < this->termStart) {
         return TimePoint::min();
     }
@@ -95,7 +95,8 @@
     if (sent == this->roundSent.end()) {
         return TimePoint::min();
     }
-    // Counted from the send: the voters count theirs from the receipt, which is later, so no clock needs to agree with another.
+    // The lease starts when the heartbeat is sent. Voters start their timeout at the receipt, which is later, so the clocks need
+    // not be synchronized.
     return sent->second + this->settings.leaseLength();
 }
 
@@ -114,8 +115,8 @@
         this->actions.emplace_back(ReadReady{read.number});
         return;
     }
-    // Another leader may have committed since this one last heard a quorum; only a round that begins after the request
-    // proves that none did.
+    // Another leader may have committed entries since this one last had contact with a quorum. Only a heartbeat round that starts
+    // after the request proves that none did.
     this->reads.push_back(WaitingRead{read.number, std::max(this->commit, this->termStart), this->round.next()});
     this->nextHeartbeat = this->now;
 }
--- a/lib/Consensus/leadreport.h
+++ b/lib/Consensus/leadreport.h
@@ -1,4 +1,4 @@
-// leadreport.h: logs why the lead of the control group is lost or sought.
+// leadreport.h: logs lost leadership and started elections of the control group.
 #pragma once
 
 #include "sapphirespool/Consensus/core.h"
@@ -6,11 +6,13 @@
 namespace sapphirespool::consensus
 {
 
-/// Compares the part that this replica plays with the one before. One line for each lead lost and each election begun here.
+/// Compares the role of this replica with its previous role, and logs an event for each loss of leadership and each election that
+/// this replica starts.
 class LeadReport
 {
 public:
-    /// \param core after each event that it handled
+    /// Must be called after each event that \p core handled.
+    /// \param core the core in its state after the event
     auto note(const Core &core, TimePoint now) -> void;
 
 private:
@@ -18,7 +20,7 @@
 
     CoreRole role = CoreRole::Follower;
     ElectionTerm term;
-    /// While this replica led: when it last had a quorum. The core forgets it with the lead.
+    /// When this replica, as leader, last had contact with a quorum. Copied, as the core clears it when it steps down.
     TimePoint quorumHeardAt{};
 };
 
--- a/lib/Consensus/peerlink.cpp
+++ b/lib/Consensus/peerlink.cpp
@@ -11,12 +11,12 @@
 namespace
 {
 
-/// A connection on which nothing was answered for so long is given up: behind a silent partition its messages would pile up, and
-/// after the partition it would take the retransmission of TCP, up to minutes, to move again.
+/// A connection without an answer for this long is closed. During a partition that drops packets silently its messages would queue up,
+/// and after the partition it would resume only with the next TCP retransmission, up to minutes later.
 constexpr auto silenceLimit = std::chrono::milliseconds(1000);
-/// Between two attempts to connect, well below the election timeout.
+/// Minimum interval between two connection attempts, well below the election timeout.
 constexpr auto retryInterval = std::chrono::milliseconds(50);
-/// Messages without an answer; beyond it the connection is too slow, and more would only be late.
+/// Maximum number of unanswered messages. At this limit the connection is too slow, and further messages would only arrive late.
 constexpr auto unansweredLimit = std::size_t(512);
 
 } // namespace
@@ -40,7 +40,7 @@
 {
     this->unanswered = 0;
     if (this->connection.get() != nullptr) {
-        // Not within a callback of the connection itself.
+        // Deferred, as the connection must not be destroyed within one of its own callbacks.
         this->tasks.add(kj::evalLater([held = kj::mv(this->connection)] {}));
         this->connection = nullptr;
         this->connectLater();
--- a/lib/Consensus/peerlink.h
+++ b/lib/Consensus/peerlink.h
@@ -14,33 +14,33 @@
 namespace sapphirespool::consensus
 {
 
-/// What a control VM says to one that wants to join.
+/// Answer of a control VM to a join request.
 struct JoinAnswer
 {
-    /// Whether it is of no group itself.
+    /// Whether the answering VM belongs to no group itself.
     bool empty = false;
-    /// The group that it is of.
+    /// Members of the group that the answering VM belongs to.
     std::vector<ControlMember> members;
 };
 
-/// Connects when there is something to send, or when it is kept open, and again after a failure. Messages that cannot be sent are dropped: the core sends
-/// again what matters.
+/// Connects when there is a message to send or when the link is kept open, and reconnects after a failure. Drops messages that cannot
+/// be sent, as the core retransmits those that it needs.
 class PeerLink : private kj::TaskSet::ErrorHandler
 {
 public:
-    /// \param reached called whenever a connection has come up
+    /// \param reached called whenever a connection is established
     PeerLink(rpc::LoopContext &context, Endpoint endpoint, std::function<void()> reached);
     virtual ~PeerLink();
     PeerLink(const PeerLink &) = delete;
     auto operator=(const PeerLink &) -> PeerLink & = delete;
 
-    /// Says whether to connect now, and again whenever the connection is lost, also while there is nothing to send.
+    /// Sets whether to connect now and to reconnect whenever the connection is lost, even while there is nothing to send.
     auto keepOpen(bool wanted) -> void;
 
-    /// Gives the message to the VM at the other end; \p write fills it.
+    /// Sends a message to the peer; \p write fills it in.
     auto deliver(const std::function<void(schema::Message::Builder)> &write) -> void;
 
-    /// Asks to be taken in; \p answered gets what the other VM says.
+    /// Sends a request to join the group; \p answered receives the answer of the peer.
     auto join(const ControlMember &self, std::function<void(JoinAnswer)> answered) -> void;
 
 private:
--- a/lib/Consensus/replica.cpp
+++ b/lib/Consensus/replica.cpp
@@ -24,15 +24,15 @@
 namespace
 {
 
-/// How often a VM that is of no group asks to join, and a leader looks whether the group needs a change.
+/// How often a VM without a group requests to join, and a leader checks whether the group needs a membership change.
 constexpr auto formationInterval = std::chrono::milliseconds(100);
-/// A snapshot is due after this many entries: replaying them takes less than a second at the restart.
+/// Entries after which a snapshot is taken: their replay at a restart takes less than a second.
 constexpr auto snapshotEntries = std::uint64_t(10'000);
-/// Or after this many bytes of commands, so that large commands do not fill the memory.
+/// Bytes of commands after which a snapshot is taken, so that large commands do not exhaust memory.
 constexpr auto snapshotBytes = std::size_t(8 * 1024 * 1024);
 
-/// A voter that is silent for so long gives its place to a learner, if there is one. A VM that restarts is back within this time; one
-/// that comes back later joins again as a learner.
+/// A voter that is unresponsive for this long is replaced by a learner, if there is one. A VM that restarts is reachable again within
+/// this time; one that returns later joins again as a learner.
 constexpr auto replaceAfter = std::chrono::milliseconds(4'000);
 
 using ProposalDone = std::function<void(ProposalOutcome)>;
@@ -73,11 +73,11 @@
     auto peerCapability() -> capnp::Capability::Client override;
     auto start() -> void override;
 
-    /// Takes in a message of another control VM.
+    /// Handles a message from another control VM.
     auto received(schema::Message::Reader message) -> void;
 
-    /// Notes that \p member wants to be taken in.
-    /// \return whether this VM is of no group either
+    /// Records the request of \p member to join the group.
+    /// \return whether this VM belongs to no group either
     auto joinAsked(const ControlMember &member) -> bool;
 
 private:
@@ -96,7 +96,7 @@
     [[nodiscard]] auto repairRules() const -> RepairRules;
     auto proposeMembers(std::vector<ControlMember> members, ProposalDone done) -> void;
     auto linkTo(const VmId &vm) -> PeerLink *;
-    /// Takes in that messages reach \p vm again.
+    /// Notifies the core that the connection to \p vm is established.
     auto reached(const VmId &vm) -> void;
     auto keepLinksOpen() -> void;
     auto vmOf(ReplicaId replica) const -> std::optional<VmId>;
@@ -110,7 +110,7 @@
     ReplicaId self;
     std::unique_ptr<Core> core;
     Formation formation;
-    /// Members of the group, as others told this VM while it is of none.
+    /// Members of the group as reported in answers to join requests, while this VM belongs to no group.
     std::vector<ControlMember> heardOf;
     std::unique_ptr<DiskThread> disk;
 
@@ -130,7 +130,7 @@
     kj::TaskSet tasks;
 };
 
-/// Takes messages of other control VMs in.
+/// RPC server for messages and join requests from other control VMs.
 class PeerServer final : public schema::ConsensusPeer::Server
 {
 public:
@@ -298,7 +298,7 @@
     this->armedFor = deadline;
     this->timerTask = this->context.timer.afterDelay(toKj(deadline - clockNow()))
                           .then([this] {
-                              // Run outside of this task, which the next armTimer() replaces.
+                              // Deferred, as the next armTimer() replaces the task that runs here.
                               this->tasks.add(kj::evalLater([this] {
                                   this->armedFor.reset();
                                   this->handle(Timer());
@@ -354,7 +354,7 @@
         }
         this->linkTo(member.vm)->join(this->selfMember(), [this, vm = member.vm](JoinAnswer answer) {
             this->formation.noteAnswer(vm, answer.empty);
-            // Only the leader takes VMs in, and the settings may not name it.
+            // Only the leader admits VMs, and the settings may not list it.
             if (!answer.members.empty()) {
                 this->heardOf = std::move(answer.members);
             }
@@ -379,7 +379,8 @@
 {
     this->formation.noteRequest(JoinRequest{member.vm, member.endpoint, member.replica}, this->core->members(), clockNow());
     this->knownVms.insert_or_assign(member.replica, member.vm);
-    // A VM runs one control process at a time: where it asks under a new identity, the process of its former one is gone.
+    // A VM runs one control process at a time, so a request with a new replica identity proves that the process of the former identity
+    // has ended.
     for (const auto &known : this->members()) {
         if (known.vm == member.vm && known.replica != member.replica) {
             this->handle(Ended{known.replica});
--- a/lib/Consensus/replicastore.cpp
+++ b/lib/Consensus/replicastore.cpp
@@ -42,7 +42,7 @@
     return flatten(message);
 }
 
-/// Replays the records of the journal.
+/// Applies one journal record to the recovered state.
 auto replay(std::span<const std::byte> record, Recovered &recovered) -> void
 {
     const auto words = AlignedWords(record);
@@ -61,8 +61,8 @@
     }
 }
 
-/// Drops the entries that the snapshot covers. After a crash between the snapshot and the cut of the log the log may be that of
-/// another history; entries after the snapshot then count only if the entry at its index is the same.
+/// Drops the entries that the snapshot covers. After a crash between the write of the snapshot and the truncation of the log, the log may
+/// have diverged from the snapshot. Entries after the snapshot are then valid only if the log has the same entry at the snapshot's index.
 auto alignWithSnapshot(Recovered &recovered) -> void
 {
     if (recovered.snapshot == nullptr) {
@@ -161,7 +161,7 @@
 
 auto ReplicaStore::write(const SaveSnapshot &save) -> boost::leaf::result<void>
 {
-    // The journal still holds all that the old snapshot lacks until the new one lasts.
+    // Until the new snapshot is durable, the journal must hold all entries that the old snapshot lacks.
     BOOST_LEAF_CHECK(this->journal->sync());
     BOOST_LEAF_CHECK(storage::replaceFile(this->folder, snapshotName, encode(*save.snapshot)));
     auto records = std::vector<Bytes>{encodeHardState(save.hard)};
--- a/lib/Consensus/replication.cpp
+++ b/lib/Consensus/replication.cpp
@@ -112,7 +112,7 @@
     }
     this->takeEntries(request);
     const auto matched = std::max(after(request.previousIndex, request.entries.size()), this->window.baseIndex());
-    // An acknowledgement before the sync could be counted for a commit, and the entry be lost with the power.
+    // If it were acknowledged before the sync, an entry could count towards a commit and then be lost in a power failure.
     this->sendWhenSynced(from, AppendReply{this->hard.term, true, matched, ElectionTerm()});
     this->advanceCommit(std::min(request.commit, matched));
 }
@@ -121,7 +121,7 @@
 {
     const auto hint = this->window.lastWithTermUpTo(request.previousIndex, request.previousTerm);
     const auto hintTerm = this->window.termAt(hint);
-    assert(hintTerm && "the hint lies in the log");
+    assert(hintTerm && "the hint is an index within the log");
     this->send(from, AppendReply{this->hard.term, false, hint, *hintTerm});
 }
 
@@ -199,8 +199,8 @@
 auto Core::nextAfterRefusal(const AppendReply &reply) const -> LogIndex
 {
     const auto common = this->window.lastWithTermUpTo(reply.index, reply.hintTerm);
-    // If even the base is newer than the peer's entry there, the last common entry lies before the log, and only a snapshot
-    // helps. Trying from the base again would be refused forever.
+    // If even the base of the log has a later term than the peer's entry, the last common entry precedes the log, and the peer
+    // needs a snapshot. Retries from the base would be refused forever.
     const auto beforeLog = common == this->window.baseIndex() && this->window.termAt(common) > reply.hintTerm;
     return beforeLog ? common : common.next();
 }
@@ -221,7 +221,7 @@
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
     const auto held = matches[this->quorum() - 1];
-    // An entry of an earlier term may be on a quorum and still be overwritten by a leader of a term in between.
+    // An entry of an earlier term may be stored on a quorum and still be overwritten by a leader of an intermediate term.
     if (held > this->commit && this->window.termAt(held) == this->hard.term) {
         this->advanceCommit(held);
     }
@@ -244,7 +244,7 @@
         }
     }
     this->releaseReads();
-    // A leader that the group removed must not count on: its heartbeats would keep the others from an election.
+    // A leader that was removed from the group must step down, as its heartbeats would keep the others from an election.
     if (this->currentRole == CoreRole::Leader && this->commit >= this->groupIndex && !this->isVoter(this->self)) {
         this->becomeFollower(this->hard.term, std::nullopt);
     }
