--- a/lib/Consensus/diskthread.cpp
+++ b/lib/Consensus/diskthread.cpp
@@ -32,10 +32,10 @@
 
 DiskThread::DiskThread(std::unique_ptr<ReplicaStore> store, kj::LowLevelAsyncIoProvider &lowLevel)
     : store(std::move(store))
-    , ended(lowLevel)
+    , outcomesReady(lowLevel)
     , outcomeTask(this->awaitOutcomes().eagerlyEvaluate(nullptr))
     , thread([this] {
-        this->loop();
+        this->runThread();
     })
 {
 }
@@ -54,7 +54,7 @@
 {
     assert(!batch.empty() && "a batch must not be empty");
     auto outcome = kj::newPromiseAndFulfiller<DiskOutcome>();
-    this->waiting.push_back(kj::mv(outcome.fulfiller));
+    this->fulfillers.push_back(kj::mv(outcome.fulfiller));
     {
         const auto guard = std::lock_guard(this->mutex);
         this->batches.push_back(std::move(batch));
@@ -63,7 +63,7 @@
     return kj::mv(outcome.promise);
 }
 
-auto DiskThread::loop() -> void
+auto DiskThread::runThread() -> void
 {
     while (true) {
         auto guard = std::unique_lock(this->mutex);
@@ -76,23 +76,23 @@
         const auto batch = std::move(this->batches.front());
         this->batches.pop_front();
         guard.unlock();
-        auto outcome = this->perform(batch);
+        auto outcome = this->writeBatch(batch);
         guard.lock();
         this->outcomes.push_back(std::move(outcome));
         guard.unlock();
-        this->ended.raise();
+        this->outcomesReady.raise();
     }
 }
 
 auto DiskThread::awaitOutcomes() -> kj::Promise<void>
 {
-    return this->ended.awaitRaised().then([this] {
-        this->handOver();
+    return this->outcomesReady.awaitRaised().then([this] {
+        this->deliverOutcomes();
         return this->awaitOutcomes();
     });
 }
 
-auto DiskThread::handOver() -> void
+auto DiskThread::deliverOutcomes() -> void
 {
     auto taken = std::vector<DiskOutcome>();
     {
@@ -100,13 +100,13 @@
         taken.swap(this->outcomes);
     }
     for (auto &outcome : taken) {
-        auto waiter = kj::mv(this->waiting.front());
-        this->waiting.pop_front();
+        auto waiter = kj::mv(this->fulfillers.front());
+        this->fulfillers.pop_front();
         waiter->fulfill(std::move(outcome));
     }
 }
 
-auto DiskThread::perform(const std::vector<DiskWrite> &batch) -> DiskOutcome
+auto DiskThread::writeBatch(const std::vector<DiskWrite> &batch) -> DiskOutcome
 {
     return boost::leaf::try_handle_all(
         [this, &batch]() -> boost::leaf::result<DiskOutcome> {
--- a/lib/Consensus/diskthread.h
+++ b/lib/Consensus/diskthread.h
@@ -43,10 +43,10 @@
     auto run(std::vector<DiskWrite> batch) -> kj::Promise<DiskOutcome>;
 
 private:
-    auto loop() -> void;
-    auto perform(const std::vector<DiskWrite> &batch) -> DiskOutcome;
+    auto runThread() -> void;
+    auto writeBatch(const std::vector<DiskWrite> &batch) -> DiskOutcome;
     auto awaitOutcomes() -> kj::Promise<void>;
-    auto handOver() -> void;
+    auto deliverOutcomes() -> void;
 
     std::unique_ptr<ReplicaStore> store;
     std::mutex mutex;
@@ -56,8 +56,8 @@
     std::vector<DiskOutcome> outcomes;
     bool stopping = false;
     /// Fulfillers of the pending results, in the order of the batches. Used on the event loop thread only.
-    std::deque<kj::Own<kj::PromiseFulfiller<DiskOutcome>>> waiting;
-    rpc::LoopSignal ended;
+    std::deque<kj::Own<kj::PromiseFulfiller<DiskOutcome>>> fulfillers;
+    rpc::LoopSignal outcomesReady;
     kj::Promise<void> outcomeTask;
     std::thread thread;
 };
--- a/lib/Consensus/election.cpp
+++ b/lib/Consensus/election.cpp
@@ -64,11 +64,11 @@
         return;
     }
     const auto keepsVote = this->keepsVoteFrom(from, request.term);
-    const auto willing = !this->diskFailed && !keepsVote && this->logCovers(request);
+    const auto canGrant = !this->diskFailed && !keepsVote && this->logCovers(request);
     if (request.preVote) {
         // Without the pre-vote, a replica that returns from a partition would have a higher term and depose a leader that all others
         // still reach.
-        const auto granted = willing && request.term > this->hard.term;
+        const auto granted = canGrant && request.term > this->hard.term;
         this->send(from, VoteReply{granted ? request.term : this->hard.term, true, granted});
         return;
     }
@@ -78,8 +78,8 @@
     if (request.term > this->hard.term) {
         this->becomeFollower(request.term, std::nullopt);
     }
-    const auto free = this->hard.vote == ReplicaId() || this->hard.vote == from;
-    if (!willing || !free) {
+    const auto voteAvailable = this->hard.vote == ReplicaId() || this->hard.vote == from;
+    if (!canGrant || !voteAvailable) {
         this->send(from, VoteReply{this->hard.term, false, false});
         return;
     }
@@ -100,9 +100,9 @@
         }
         return;
     }
-    const auto expected = reply.preVote ? CoreRole::PreCandidate : CoreRole::Candidate;
-    const auto asked = reply.preVote ? this->hard.term.next() : this->hard.term;
-    if (this->currentRole != expected || reply.term != asked) {
+    const auto expectedRole = reply.preVote ? CoreRole::PreCandidate : CoreRole::Candidate;
+    const auto expectedTerm = reply.preVote ? this->hard.term.next() : this->hard.term;
+    if (this->currentRole != expectedRole || reply.term != expectedTerm) {
         return;
     }
     this->votes[from] = true;
@@ -167,10 +167,10 @@
 
 auto Core::onReached(ReplicaId replica) -> void
 {
-    // When all VMs start together, no peer is connected yet when the first vote requests are sent. Without a request on connection,
-    // peers would get one only in the next campaign, an election timeout later.
-    const auto asks = this->currentRole == CoreRole::PreCandidate || this->currentRole == CoreRole::Candidate;
-    if (asks && this->isVoter(replica) && !this->votes.contains(replica)) {
+    // When all VMs start together, no peer is connected yet when the first vote requests are sent. Without a request on connection, the
+    // peer would get one only in the next round: a heartbeat interval later from a pre-candidate, an election timeout later from a candidate.
+    const auto campaigning = this->currentRole == CoreRole::PreCandidate || this->currentRole == CoreRole::Candidate;
+    if (campaigning && this->isVoter(replica) && !this->votes.contains(replica)) {
         this->askForVote(replica);
     }
 }
--- a/lib/Consensus/heartbeat.cpp
+++ b/lib/Consensus/heartbeat.cpp
@@ -69,20 +69,20 @@
 
 auto Core::quorumHeardAt() const -> TimePoint
 {
-    auto heard = std::vector<TimePoint>();
+    auto contactTimes = std::vector<TimePoint>();
     if (this->isVoter(this->self)) {
-        heard.push_back(this->now);
+        contactTimes.push_back(this->now);
     }
     for (const auto &[replica, peer] : this->progress) {
         if (this->isVoter(replica)) {
-            heard.push_back(peer.heardAt);
+            contactTimes.push_back(peer.heardAt);
         }
     }
-    if (heard.size() < this->quorum()) {
+    if (contactTimes.size() < this->quorum()) {
         return TimePoint::min();
     }
-    std::sort(heard.begin(), heard.end(), std::greater<>());
-    return heard[this->quorum() - 1];
+    std::sort(contactTimes.begin(), contactTimes.end(), std::greater<>());
+    return contactTimes[this->quorum() - 1];
 }
 
 auto Core::leaderLeaseEnd() const -> TimePoint
--- a/lib/Consensus/leadreport.cpp
+++ b/lib/Consensus/leadreport.cpp
@@ -7,11 +7,11 @@
 namespace sapphirespool::consensus
 {
 
-auto LeadReport::note(const Core &core, TimePoint now) -> void
+auto LeadershipLogger::update(const Core &core, TimePoint now) -> void
 {
     const auto before = std::exchange(this->role, core.role());
     if (before == CoreRole::Leader && core.role() != CoreRole::Leader) {
-        this->noteLost(core, now);
+        this->logLeadershipLost(core, now);
     } else if (before == CoreRole::Follower && core.role() == CoreRole::PreCandidate) {
         support::log(support::Event::ElectionStarted, {{"term", core.term().next().value()}, {"leader_silent_ms", now - core.leaderHeardAt()}});
     }
@@ -21,7 +21,7 @@
     this->term = core.term();
 }
 
-auto LeadReport::noteLost(const Core &core, TimePoint now) const -> void
+auto LeadershipLogger::logLeadershipLost(const Core &core, TimePoint now) const -> void
 {
     support::log(
         support::Event::ControlLeadLost,
--- a/lib/Consensus/peerlink.h
+++ b/lib/Consensus/peerlink.h
@@ -29,7 +29,7 @@
 {
 public:
     /// \param reached called whenever a connection is established
-    PeerLink(rpc::LoopContext &context, Endpoint endpoint, std::function<void()> reached);
+    PeerLink(rpc::LoopContext &context, Endpoint endpoint, std::function<void()> onConnected);
     virtual ~PeerLink();
     PeerLink(const PeerLink &) = delete;
     auto operator=(const PeerLink &) -> PeerLink & = delete;
@@ -40,26 +40,26 @@
     /// Sends a message to the peer; \p write fills it in.
     auto deliver(const std::function<void(schema::Message::Builder)> &write) -> void;
 
-    /// Sends a request to join the group; \p answered receives the answer of the peer.
-    auto join(const ControlMember &self, std::function<void(JoinAnswer)> answered) -> void;
+    /// Sends a request to join the group; \p onAnswer receives the answer of the peer.
+    auto join(const ControlMember &self, std::function<void(JoinAnswer)> onAnswer) -> void;
 
 private:
     auto taskFailed(kj::Exception &&exception) -> void override;
-    auto ready() -> bool;
+    auto readyToSend() -> bool;
     auto connect() -> void;
-    auto connectLater() -> void;
-    auto noteAnswer() -> void;
-    auto drop() -> void;
+    auto scheduleReconnect() -> void;
+    auto recordAnswer() -> void;
+    auto disconnect() -> void;
 
     rpc::LoopContext &context;
     Endpoint endpoint;
-    std::function<void()> reached;
+    std::function<void()> onConnected;
     bool keptOpen = false;
     kj::Own<rpc::Connection> connection;
     bool connecting = false;
-    std::size_t unanswered = 0;
-    TimePoint answeredAt{};
-    TimePoint triedAt{};
+    std::size_t unansweredMessages = 0;
+    TimePoint lastAnswerAt{};
+    TimePoint lastAttemptAt{};
     kj::TaskSet tasks;
 };
 
--- a/lib/Consensus/replica.cpp
+++ b/lib/Consensus/replica.cpp
@@ -25,7 +25,7 @@
 {
 
 /// How often a VM without a group requests to join, and a leader checks whether the group needs a membership change.
-constexpr auto formationInterval = std::chrono::milliseconds(100);
+constexpr auto membershipInterval = std::chrono::milliseconds(100);
 /// Entries after which a snapshot is taken: their replay at a restart takes less than a second.
 constexpr auto snapshotEntries = std::uint64_t(10'000);
 /// Bytes of commands after which a snapshot is taken, so that large commands do not exhaust memory.
@@ -33,7 +33,7 @@
 
 /// A voter that is unresponsive for this long is replaced by a learner, if there is one. A VM that restarts is reachable again within
 /// this time; one that returns later joins again as a learner.
-constexpr auto replaceAfter = std::chrono::milliseconds(4'000);
+constexpr auto voterReplacementTimeout = std::chrono::milliseconds(4'000);
 
 using ProposalDone = std::function<void(ProposalOutcome)>;
 using ReadDone = std::function<void(std::optional<ProposalFailure>)>;
@@ -74,11 +74,11 @@
     auto start() -> void override;
 
     /// Handles a message from another control VM.
-    auto received(schema::Message::Reader message) -> void;
+    auto onMessage(schema::Message::Reader message) -> void;
 
     /// Records the request of \p member to join the group.
     /// \return whether this VM belongs to no group either
-    auto joinAsked(const ControlMember &member) -> bool;
+    auto onJoinRequest(const ControlMember &member) -> bool;
 
 private:
     auto taskFailed(kj::Exception &&exception) -> void override;
@@ -88,20 +88,20 @@
     auto apply(const Apply &apply) -> void;
     auto fail(const Failed &failed) -> void;
     auto startWriting() -> void;
-    auto diskDone(const DiskOutcome &outcome) -> void;
+    auto onDiskOutcome(const DiskOutcome &outcome) -> void;
     auto armTimer() -> void;
     auto snapshotIfDue() -> void;
-    auto runFormation() -> void;
-    auto askToJoin() -> void;
+    auto updateMembership() -> void;
+    auto requestToJoin() -> void;
     [[nodiscard]] auto repairRules() const -> RepairRules;
     auto proposeMembers(std::vector<ControlMember> members, ProposalDone done) -> void;
     auto linkTo(const VmId &vm) -> PeerLink *;
     /// Notifies the core that the connection to \p vm is established.
-    auto reached(const VmId &vm) -> void;
+    auto onConnected(const VmId &vm) -> void;
     auto keepLinksOpen() -> void;
     auto vmOf(ReplicaId replica) const -> std::optional<VmId>;
     auto selfMember() const -> ControlMember;
-    auto reportLeader() -> void;
+    auto logLeaderChange() -> void;
 
     rpc::LoopContext &context;
     ReplicaSettings settings;
@@ -111,22 +111,22 @@
     std::unique_ptr<Core> core;
     Formation formation;
     /// Members of the group as reported in answers to join requests, while this VM belongs to no group.
-    std::vector<ControlMember> heardOf;
+    std::vector<ControlMember> reportedMembers;
     std::unique_ptr<DiskThread> disk;
 
-    std::vector<DiskWrite> waitingWrites;
-    bool writing = false;
+    std::vector<DiskWrite> pendingWrites;
+    bool writeInProgress = false;
     std::map<VmId, std::unique_ptr<PeerLink>> links;
-    std::map<ReplicaId, VmId> knownVms;
-    std::uint64_t lastNumber = 0;
+    std::map<ReplicaId, VmId> vmsByReplica;
+    std::uint64_t lastRequestNumber = 0;
     std::map<RequestNumber, ProposalDone> proposals;
     std::map<RequestNumber, ReadDone> reads;
     std::uint64_t entriesSinceSnapshot = 0;
     std::size_t bytesSinceSnapshot = 0;
-    std::optional<ReplicaId> reportedLeader;
-    LeadReport leadReport;
+    std::optional<ReplicaId> loggedLeader;
+    LeadershipLogger leadershipLogger;
     kj::Maybe<kj::Promise<void>> timerTask;
-    std::optional<TimePoint> armedFor;
+    std::optional<TimePoint> timerDeadline;
     kj::TaskSet tasks;
 };
 
@@ -141,18 +141,18 @@
 
     auto deliver(DeliverContext call) -> kj::Promise<void> override
     {
-        this->node.received(call.getParams().getMessage());
+        this->node.onMessage(call.getParams().getMessage());
         return kj::READY_NOW;
     }
 
     auto join(JoinContext call) -> kj::Promise<void> override
     {
         auto answer = call.getResults();
-        answer.setEmpty(this->node.joinAsked(read(call.getParams().getMember())));
+        answer.setEmpty(this->node.onJoinRequest(read(call.getParams().getMember())));
         const auto members = this->node.members();
         auto list = answer.initMembers(static_cast<unsigned>(members.size()));
-        for (auto place = 0U; place < list.size(); ++place) {
-            write(members[place], list[place]);
+        for (auto position = 0U; position < list.size(); ++position) {
+            write(members[position], list[position]);
         }
         return kj::READY_NOW;
     }
@@ -189,7 +189,7 @@
 auto ReplicaNode::start() -> void
 {
     this->armTimer();
-    this->runFormation();
+    this->updateMembership();
 }
 
 auto ReplicaNode::handle(const CoreEvent &event) -> void
@@ -200,8 +200,8 @@
     this->startWriting();
     this->snapshotIfDue();
     this->armTimer();
-    this->reportLeader();
-    this->leadReport.note(*this->core, clockNow());
+    this->logLeaderChange();
+    this->leadershipLogger.update(*this->core, clockNow());
 }
 
 auto ReplicaNode::perform(Action action) -> void
@@ -209,9 +209,9 @@
     if (const auto *const send = std::get_if<Send>(&action)) {
         this->sendMessage(*send);
     } else if (auto *const persist = std::get_if<Persist>(&action)) {
-        this->waitingWrites.emplace_back(std::move(*persist));
+        this->pendingWrites.emplace_back(std::move(*persist));
     } else if (auto *const save = std::get_if<SaveSnapshot>(&action)) {
-        this->waitingWrites.emplace_back(std::move(*save));
+        this->pendingWrites.emplace_back(std::move(*save));
     } else if (const auto *const applied = std::get_if<Apply>(&action)) {
         this->apply(*applied);
     } else if (const auto *const restored = std::get_if<Restore>(&action)) {
@@ -269,17 +269,17 @@
 
 auto ReplicaNode::startWriting() -> void
 {
-    if (this->writing || this->waitingWrites.empty()) {
+    if (this->writeInProgress || this->pendingWrites.empty()) {
         return;
     }
-    this->writing = true;
-    this->tasks.add(this->disk->run(std::exchange(this->waitingWrites, {})).then([this](const DiskOutcome &outcome) {
-        this->writing = false;
-        this->diskDone(outcome);
+    this->writeInProgress = true;
+    this->tasks.add(this->disk->run(std::exchange(this->pendingWrites, {})).then([this](const DiskOutcome &outcome) {
+        this->writeInProgress = false;
+        this->onDiskOutcome(outcome);
     }));
 }
 
-auto ReplicaNode::diskDone(const DiskOutcome &outcome) -> void
+auto ReplicaNode::onDiskOutcome(const DiskOutcome &outcome) -> void
 {
     if (const auto *const token = std::get_if<PersistToken>(&outcome)) {
         this->handle(DiskSynced{*token});
@@ -292,15 +292,15 @@
 auto ReplicaNode::armTimer() -> void
 {
     const auto deadline = this->core->deadline();
-    if (this->armedFor == deadline) {
+    if (this->timerDeadline == deadline) {
         return;
     }
-    this->armedFor = deadline;
+    this->timerDeadline = deadline;
     this->timerTask = this->context.timer.afterDelay(toKj(deadline - clockNow()))
                           .then([this] {
                               // Deferred, as the next armTimer() replaces the task that runs here.
                               this->tasks.add(kj::evalLater([this] {
-                                  this->armedFor.reset();
+                                  this->timerDeadline.reset();
                                   this->handle(Timer());
                               }));
                           })
@@ -320,11 +320,11 @@
     this->startWriting();
 }
 
-auto ReplicaNode::runFormation() -> void
+auto ReplicaNode::updateMembership() -> void
 {
     this->keepLinksOpen();
     if (!this->core->isMember()) {
-        this->askToJoin();
+        this->requestToJoin();
         if (this->core->members().members.empty() && this->formation.shouldFound()) {
             support::log(support::Event::GroupFounded, {{"vm", this->settings.vm.value()}});
             this->handle(Founded{this->selfMember()});
@@ -339,16 +339,16 @@
             this->proposeMembers(*change, [](const ProposalOutcome &) {});
         }
     }
-    this->tasks.add(this->context.timer.afterDelay(toKj(formationInterval)).then([this] {
-        this->runFormation();
+    this->tasks.add(this->context.timer.afterDelay(toKj(membershipInterval)).then([this] {
+        this->updateMembership();
     }));
 }
 
-auto ReplicaNode::askToJoin() -> void
+auto ReplicaNode::requestToJoin() -> void
 {
-    auto asked = this->settings.initialMembers;
-    asked.insert(asked.end(), this->heardOf.begin(), this->heardOf.end());
-    for (const auto &member : asked) {
+    auto contacts = this->settings.initialMembers;
+    contacts.insert(contacts.end(), this->reportedMembers.begin(), this->reportedMembers.end());
+    for (const auto &member : contacts) {
         if (member.vm == this->settings.vm) {
             continue;
         }
@@ -356,7 +356,7 @@
             this->formation.noteAnswer(vm, answer.empty);
             // Only the leader admits VMs, and the settings may not list it.
             if (!answer.members.empty()) {
-                this->heardOf = std::move(answer.members);
+                this->reportedMembers = std::move(answer.members);
             }
         });
     }
@@ -369,16 +369,16 @@
     if (this->settings.openToOthers) {
         rules.members = 2 * this->settings.voters;
         rules.lost = [this](ReplicaId replica) {
-            return replica != this->self && this->core->silence(replica) > replaceAfter;
+            return replica != this->self && this->core->silence(replica) > voterReplacementTimeout;
         };
     }
     return rules;
 }
 
-auto ReplicaNode::joinAsked(const ControlMember &member) -> bool
+auto ReplicaNode::onJoinRequest(const ControlMember &member) -> bool
 {
     this->formation.noteRequest(JoinRequest{member.vm, member.endpoint, member.replica}, this->core->members(), clockNow());
-    this->knownVms.insert_or_assign(member.replica, member.vm);
+    this->vmsByReplica.insert_or_assign(member.replica, member.vm);
     // A VM runs one control process at a time, so a request with a new replica identity proves that the process of the former identity
     // has ended.
     for (const auto &known : this->members()) {
@@ -389,13 +389,13 @@
     return this->core->members().members.empty();
 }
 
-auto ReplicaNode::received(schema::Message::Reader message) -> void
+auto ReplicaNode::onMessage(schema::Message::Reader message) -> void
 {
     if (ReplicaId(message.getTo()) != this->self) {
         return;
     }
     const auto from = ReplicaId(message.getFrom());
-    this->knownVms.insert_or_assign(from, VmId(message.getFromVm().cStr()));
+    this->vmsByReplica.insert_or_assign(from, VmId(message.getFromVm().cStr()));
     this->handle(Received{from, read(message)});
 }
 
@@ -406,8 +406,8 @@
             return member.vm;
         }
     }
-    const auto found = this->knownVms.find(replica);
-    return found == this->knownVms.end() ? std::nullopt : std::optional(found->second);
+    const auto found = this->vmsByReplica.find(replica);
+    return found == this->vmsByReplica.end() ? std::nullopt : std::optional(found->second);
 }
 
 auto ReplicaNode::linkTo(const VmId &vm) -> PeerLink *
@@ -417,19 +417,19 @@
     }
     auto candidates = this->core->members().members;
     candidates.insert(candidates.end(), this->settings.initialMembers.begin(), this->settings.initialMembers.end());
-    candidates.insert(candidates.end(), this->heardOf.begin(), this->heardOf.end());
+    candidates.insert(candidates.end(), this->reportedMembers.begin(), this->reportedMembers.end());
     for (const auto &member : candidates) {
         if (member.vm == vm) {
-            const auto reached = [this, vm] {
-                this->reached(vm);
+            const auto onConnected = [this, vm] {
+                this->onConnected(vm);
             };
-            return this->links.emplace(vm, std::make_unique<PeerLink>(this->context, member.endpoint, reached)).first->second.get();
+            return this->links.emplace(vm, std::make_unique<PeerLink>(this->context, member.endpoint, onConnected)).first->second.get();
         }
     }
     return nullptr;
 }
 
-auto ReplicaNode::reached(const VmId &vm) -> void
+auto ReplicaNode::onConnected(const VmId &vm) -> void
 {
     for (const auto &member : this->members()) {
         if (member.vm == vm) {
@@ -440,14 +440,14 @@
 
 auto ReplicaNode::keepLinksOpen() -> void
 {
-    const auto present = this->members();
-    for (const auto &member : present) {
+    const auto currentMembers = this->members();
+    for (const auto &member : currentMembers) {
         if (member.vm != this->settings.vm) {
             this->linkTo(member.vm);
         }
     }
     for (const auto &[vm, link] : this->links) {
-        const auto isMember = std::any_of(present.begin(), present.end(), [&vm](const ControlMember &member) {
+        const auto isMember = std::any_of(currentMembers.begin(), currentMembers.end(), [&vm](const ControlMember &member) {
             return member.vm == vm;
         });
         link->keepOpen(isMember);
@@ -459,26 +459,26 @@
     return {this->settings.vm, this->settings.endpoint, true, this->self};
 }
 
-auto ReplicaNode::reportLeader() -> void
+auto ReplicaNode::logLeaderChange() -> void
 {
-    if (this->core->leader() == this->reportedLeader) {
+    if (this->core->leader() == this->loggedLeader) {
         return;
     }
-    this->reportedLeader = this->core->leader();
+    this->loggedLeader = this->core->leader();
     const auto vm = this->leader();
     support::log(support::Event::ControlLeaderChanged, {{"leader", vm ? vm->value() : "none"}, {"term", this->core->term().value()}});
 }
 
 auto ReplicaNode::propose(Bytes command, ProposalDone done) -> void
 {
-    const auto number = RequestNumber(++this->lastNumber);
+    const auto number = RequestNumber(++this->lastRequestNumber);
     this->proposals.emplace(number, std::move(done));
     this->handle(Proposed{number, std::move(command)});
 }
 
 auto ReplicaNode::confirmRead(ReadDone done) -> void
 {
-    const auto number = RequestNumber(++this->lastNumber);
+    const auto number = RequestNumber(++this->lastRequestNumber);
     this->reads.emplace(number, std::move(done));
     this->handle(ReadRequested{number});
 }
@@ -511,7 +511,7 @@
 
 auto ReplicaNode::proposeMembers(std::vector<ControlMember> members, ProposalDone done) -> void
 {
-    const auto number = RequestNumber(++this->lastNumber);
+    const auto number = RequestNumber(++this->lastRequestNumber);
     this->proposals.emplace(number, std::move(done));
     this->handle(MembersProposed{number, std::move(members)});
 }
--- a/lib/Consensus/replicastore.cpp
+++ b/lib/Consensus/replicastore.cpp
@@ -28,7 +28,7 @@
     return flatten(message);
 }
 
-auto encodeCut(LogIndex from) -> Bytes
+auto encodeTruncation(LogIndex from) -> Bytes
 {
     auto message = capnp::MallocMessageBuilder();
     message.initRoot<schema::LogRecord>().setCutFrom(from.value());
@@ -43,7 +43,7 @@
 }
 
 /// Applies one journal record to the recovered state.
-auto replay(std::span<const std::byte> record, Recovered &recovered) -> void
+auto applyRecord(std::span<const std::byte> record, Recovered &recovered) -> void
 {
     const auto words = AlignedWords(record);
     auto reader = capnp::FlatArrayMessageReader(words.words());
@@ -69,11 +69,11 @@
         return;
     }
     const auto &snapshot = *recovered.snapshot;
-    auto continues = !recovered.entries.empty() && recovered.entries.front().index == snapshot.index.next();
+    auto matchesSnapshot = !recovered.entries.empty() && recovered.entries.front().index == snapshot.index.next();
     for (const auto &entry : recovered.entries) {
-        continues = continues || (entry.index == snapshot.index && entry.term == snapshot.term);
+        matchesSnapshot = matchesSnapshot || (entry.index == snapshot.index && entry.term == snapshot.term);
     }
-    if (!continues) {
+    if (!matchesSnapshot) {
         recovered.entries.clear();
     }
     std::erase_if(recovered.entries, [&snapshot](const Entry &entry) {
@@ -129,7 +129,7 @@
     BOOST_LEAF_AUTO(opened, storage::Journal::open(this->folder, logName));
     this->journal = std::move(opened);
     for (const auto &record : this->journal->takeRecords()) {
-        replay(record, this->recovered);
+        applyRecord(record, this->recovered);
     }
     alignWithSnapshot(this->recovered);
     return {};
@@ -151,7 +151,7 @@
         BOOST_LEAF_CHECK(this->journal->append(encodeHardState(*persist.hard)));
     }
     if (persist.cutFrom) {
-        BOOST_LEAF_CHECK(this->journal->append(encodeCut(*persist.cutFrom)));
+        BOOST_LEAF_CHECK(this->journal->append(encodeTruncation(*persist.cutFrom)));
     }
     for (const auto &entry : persist.entries) {
         BOOST_LEAF_CHECK(this->journal->append(encodeEntry(entry)));
--- a/lib/Consensus/replication.cpp
+++ b/lib/Consensus/replication.cpp
@@ -81,8 +81,8 @@
 auto Core::resendStalled() -> void
 {
     for (auto &[replica, peer] : this->progress) {
-        const auto waits = peer.inFlight > 0 || peer.snapshot != nullptr;
-        if (!waits || this->now - peer.movedAt < this->settings.resendAfter) {
+        const auto awaitsReply = peer.inFlight > 0 || peer.snapshot != nullptr;
+        if (!awaitsReply || this->now - peer.movedAt < this->settings.resendAfter) {
             continue;
         }
         peer.movedAt = this->now;
@@ -105,8 +105,8 @@
         this->send(from, AppendReply{this->hard.term, false, LogIndex(), ElectionTerm()});
         return;
     }
-    const auto below = request.previousIndex < this->window.baseIndex();
-    if (!below && this->window.termAt(request.previousIndex) != request.previousTerm) {
+    const auto precedesLog = request.previousIndex < this->window.baseIndex();
+    if (!precedesLog && this->window.termAt(request.previousIndex) != request.previousTerm) {
         this->refuseAppend(from, request);
         return;
     }
@@ -129,8 +129,8 @@
 {
     auto persist = Persist();
     for (const auto &entry : request.entries) {
-        const auto known = entry.index <= this->window.baseIndex() || this->window.termAt(entry.index) == entry.term;
-        if (known) {
+        const auto alreadyStored = entry.index <= this->window.baseIndex() || this->window.termAt(entry.index) == entry.term;
+        if (alreadyStored) {
             continue;
         }
         if (entry.index <= this->window.lastIndex()) {
@@ -198,11 +198,11 @@
 
 auto Core::nextAfterRefusal(const AppendReply &reply) const -> LogIndex
 {
-    const auto common = this->window.lastWithTermUpTo(reply.index, reply.hintTerm);
+    const auto lastCommon = this->window.lastWithTermUpTo(reply.index, reply.hintTerm);
     // If even the base of the log has a later term than the peer's entry, the last common entry precedes the log, and the peer
     // needs a snapshot. Retries from the base would be refused forever.
-    const auto beforeLog = common == this->window.baseIndex() && this->window.termAt(common) > reply.hintTerm;
-    return beforeLog ? common : common.next();
+    const auto beforeLog = lastCommon == this->window.baseIndex() && this->window.termAt(lastCommon) > reply.hintTerm;
+    return beforeLog ? lastCommon : lastCommon.next();
 }
 
 auto Core::commitByQuorum() -> void
@@ -220,10 +220,10 @@
         return;
     }
     std::sort(matches.begin(), matches.end(), std::greater<>());
-    const auto held = matches[this->quorum() - 1];
+    const auto quorumMatch = matches[this->quorum() - 1];
     // An entry of an earlier term may be stored on a quorum and still be overwritten by a leader of an intermediate term.
-    if (held > this->commit && this->window.termAt(held) == this->hard.term) {
-        this->advanceCommit(held);
+    if (quorumMatch > this->commit && this->window.termAt(quorumMatch) == this->hard.term) {
+        this->advanceCommit(quorumMatch);
     }
 }
 
