--- a/lib/Consensus/election.cpp
+++ b/lib/Consensus/election.cpp
@@ -32,7 +32,7 @@
 
 auto Core::keepsVoteFrom(ReplicaId candidate, ElectionTerm asked) const -> bool
 {
-    // A leader of this replica's term that requests a vote for a later term has stepped down and never leads its old term again, so the
+    // A leader of this replica's term that requests a vote for a later term no longer leads and never leads its old term again, so the
     // only lease that this replica may have extended has ended. Otherwise, after a restart of all VMs, the voters would wait for the
     // expiry of a lease whose holder is the candidate itself.
     const auto isFormerLeader = this->hard.leader == candidate && asked > this->hard.term && this->currentRole != CoreRole::Leader;
--- a/lib/Consensus/heartbeat.cpp
+++ b/lib/Consensus/heartbeat.cpp
@@ -87,7 +87,7 @@
 
 auto Core::leaderLeaseEnd() const -> TimePoint
 {
-    // Until an entry of its own term is committed, a leader may not know the commit index of earlier terms.
+    // Until an entry of its own term is committed, a leader may not know all entries that were committed before it.
     if (this->currentRole != CoreRole::Leader || this->commit < this->termStart) {
         return TimePoint::min();
     }
--- a/lib/Consensus/leadreport.h
+++ b/lib/Consensus/leadreport.h
@@ -1,4 +1,4 @@
-// leadreport.h: logs lost leadership and started elections of the control group.
+// leadreport.h: logs why leadership of the control group is lost or an election is started.
 #pragma once
 
 #include "sapphirespool/Consensus/core.h"
--- a/lib/Consensus/peerlink.h
+++ b/lib/Consensus/peerlink.h
@@ -28,7 +28,7 @@
 class PeerLink : private kj::TaskSet::ErrorHandler
 {
 public:
-    /// \param reached called whenever a connection is established
+    /// \param onConnected called whenever a connection is established
     PeerLink(rpc::LoopContext &context, Endpoint endpoint, std::function<void()> onConnected);
     virtual ~PeerLink();
     PeerLink(const PeerLink &) = delete;
