--- a/lib/Consensus/leadreport.h
+++ b/lib/Consensus/leadreport.h
@@ -1,4 +1,4 @@
-// leadreport.h: logs why the lead of the control group is lost or sought.
+// leadreport.h: logs why leadership of the control group is lost or an election is started.
 #pragma once
 
 #include "sapphirespool/Consensus/core.h"
@@ -6,19 +6,22 @@
 namespace sapphirespool::consensus
 {
 
-/// Compares the part that this replica plays with the one before. One line for each lead lost and each election begun here.
-class LeadReport
+/// Compares the role of this replica with its previous role, and logs an event for each loss of leadership and each election that
+/// this replica starts.
+class LeadershipLogger
 {
 public:
-    /// \param core after each event that it handled
-    auto note(const Core &core, TimePoint now) -> void;
+    /// Must be called after each event that \p core handled.
+    /// \param core the core in its state after the event
+    auto update(const Core &core, TimePoint now) -> void;
 
 private:
-    auto noteLost(const Core &core, TimePoint now) const -> void;
+    auto logLeadershipLost(const Core &core, TimePoint now) const -> void;
 
     CoreRole role = CoreRole::Follower;
     ElectionTerm term;
-    /// While this replica led: when it last had a quorum. The core forgets it with the lead.
+    /// When this replica, as leader, last had contact with a quorum. Kept here, as the core clears the progress of its peers when it
+    /// steps down.
     TimePoint quorumHeardAt{};
 };
 
--- a/lib/Consensus/replicastore.cpp
+++ b/lib/Consensus/replicastore.cpp
@@ -28,7 +28,7 @@
     return flatten(message);
 }
 
-auto encodeCut(LogIndex from) -> Bytes
+auto encodeTruncation(LogIndex from) -> Bytes
 {
     auto message = capnp::MallocMessageBuilder();
     message.initRoot<schema::LogRecord>().setCutFrom(from.value());
@@ -42,8 +42,8 @@
     return flatten(message);
 }
 
-/// Replays the records of the journal.
-auto replay(std::span<const std::byte> record, Recovered &recovered) -> void
+/// Applies one journal record to the recovered state.
+auto applyRecord(std::span<const std::byte> record, Recovered &recovered) -> void
 {
     const auto words = AlignedWords(record);
     auto reader = capnp::FlatArrayMessageReader(words.words());
@@ -61,19 +61,19 @@
     }
 }
 
-/// Drops the entries that the snapshot covers. After a crash between the snapshot and the cut of the log the log may be that of
-/// another history; entries after the snapshot then count only if the entry at its index is the same.
+/// Drops the entries that the snapshot covers. After a crash between the write of the snapshot and the truncation of the log, the log may
+/// have diverged from the snapshot. Entries after the snapshot are then valid only if the log has the same entry at the snapshot's index.
 auto alignWithSnapshot(Recovered &recovered) -> void
 {
     if (recovered.snapshot == nullptr) {
         return;
     }
     const auto &snapshot = *recovered.snapshot;
-    auto continues = !recovered.entries.empty() && recovered.entries.front().index == snapshot.index.next();
+    auto matchesSnapshot = !recovered.entries.empty() && recovered.entries.front().index == snapshot.index.next();
     for (const auto &entry : recovered.entries) {
-        continues = continues || (entry.index == snapshot.index && entry.term == snapshot.term);
+        matchesSnapshot = matchesSnapshot || (entry.index == snapshot.index && entry.term == snapshot.term);
     }
-    if (!continues) {
+    if (!matchesSnapshot) {
         recovered.entries.clear();
     }
     std::erase_if(recovered.entries, [&snapshot](const Entry &entry) {
@@ -129,7 +129,7 @@
     BOOST_LEAF_AUTO(opened, storage::Journal::open(this->folder, logName));
     this->journal = std::move(opened);
     for (const auto &record : this->journal->takeRecords()) {
-        replay(record, this->recovered);
+        applyRecord(record, this->recovered);
     }
     alignWithSnapshot(this->recovered);
     return {};
@@ -151,7 +151,7 @@
         BOOST_LEAF_CHECK(this->journal->append(encodeHardState(*persist.hard)));
     }
     if (persist.cutFrom) {
-        BOOST_LEAF_CHECK(this->journal->append(encodeCut(*persist.cutFrom)));
+        BOOST_LEAF_CHECK(this->journal->append(encodeTruncation(*persist.cutFrom)));
     }
     for (const auto &entry : persist.entries) {
         BOOST_LEAF_CHECK(this->journal->append(encodeEntry(entry)));
@@ -161,7 +161,7 @@
 
 auto ReplicaStore::write(const SaveSnapshot &save) -> boost::leaf::result<void>
 {
-    // The journal still holds all that the old snapshot lacks until the new one lasts.
+    // Until the new snapshot is durable, the journal must hold all entries that the old snapshot lacks.
     BOOST_LEAF_CHECK(this->journal->sync());
     BOOST_LEAF_CHECK(storage::replaceFile(this->folder, snapshotName, encode(*save.snapshot)));
     auto records = std::vector<Bytes>{encodeHardState(save.hard)};
