--- a/unittests/Consensus/coretest.cpp
+++ b/unittests/Consensus/coretest.cpp
@@ -22,7 +22,7 @@
     return {LogIndex(index), ElectionTerm(term), Command{Bytes{std::byte(1)}}};
 }
 
-/// A core of three voters, with what its log holds after the founding entry.
+/// A core in a group of three voters. \p entries follow the initial configuration entry in its log.
 class OneCore
 {
 public:
@@ -52,7 +52,7 @@
         return this->run(time, DiskSynced{this->lastToken});
     }
 
-    /// Lets the core win an election at \p time.
+    /// Makes the core win the pre-vote and the election at \p time.
     auto lead(milliseconds time) -> void
     {
         this->run(time, Timer());
@@ -113,11 +113,11 @@
 
 } // namespace
 
-TEST_CASE("a voter that heard a leader keeps its vote for the minimum election timeout")
+TEST_CASE("a voter in contact with a leader grants no vote for the minimum election timeout")
 {
-    // The caller sees: a write acknowledged by one leader that another one never heard of.
-    // A leader relies on its lease while a candidate asks a voter that has just heard that leader.
-    // The voter keeps its vote for longer than the lease lasts, so nobody is elected meanwhile.
+    // Visible failure: a write acknowledged by one leader is missing at another one.
+    // A leader relies on its lease while a candidate requests the vote of a voter that has just received that leader's heartbeat.
+    // The voter withholds its vote for longer than the lease lasts, so no other leader is elected during the lease.
     auto one = OneCore();
     one.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(2), Round(1), LogIndex()}});
     CHECK_FALSE(grants(one.run(milliseconds(1299), Received{third, preRequest})));
@@ -129,11 +129,11 @@
     CHECK(grants(one.sync(milliseconds(1300))));
 }
 
-TEST_CASE("a restarted voter keeps its vote as if it had just heard a leader")
+TEST_CASE("a restarted voter grants no vote for the minimum election timeout")
 {
-    // The caller sees: a write acknowledged by one leader that another one never heard of.
-    // A voter answers a heartbeat, restarts at once and no longer knows of it, and a candidate asks it.
-    // It keeps its vote for one minimum election timeout after each start.
+    // Visible failure: a write acknowledged by one leader is missing at another one.
+    // A voter answers a heartbeat and restarts at once, which loses the time of the heartbeat; then a candidate requests its vote.
+    // The voter withholds its vote for one minimum election timeout after each start.
     auto one = OneCore();
     one.run(milliseconds(299), Received{third, request});
     CHECK_FALSE(grants(one.sync(milliseconds(299))));
@@ -141,15 +141,15 @@
     CHECK(grants(one.sync(milliseconds(300))));
 }
 
-TEST_CASE("the leader of the last term that comes back gets the votes at once")
+TEST_CASE("the restarted leader of the last term is granted votes at once")
 {
-    // The caller sees: nothing is served for a second after a loss of power, because each voter waits out a lease.
-    // All VMs restart. The one lease that a voter may have upheld was that of the leader of its term, which asks for its vote: it leads no more.
+    // Visible failure: no request is served for a second after a power failure, because each voter waits for a lease to expire.
+    // All VMs restart. A voter can only have supported the lease of the leader of its term. That leader now requests its vote, so it no longer leads.
     auto restarted = OneCore({}, 4, second);
     CHECK(grants(restarted.run(milliseconds(1), Received{second, preRequest})));
     restarted.run(milliseconds(2), Received{second, request});
     CHECK(grants(restarted.sync(milliseconds(2))));
-    // A voter that runs on and has just heard that leader may do the same.
+    // A voter that did not restart and has just received that leader's heartbeat may do the same.
     auto running = OneCore();
     running.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(4), Round(1), LogIndex()}});
     running.sync(milliseconds(1000));
@@ -157,30 +157,30 @@
     CHECK(grants(running.run(milliseconds(1002), Received{second, preRequest})));
 }
 
-TEST_CASE("the leader of an earlier term gets no vote before the lease of the present one is over")
+TEST_CASE("the leader of an earlier term is granted no vote before the lease of the current leader expires")
 {
-    // The caller sees: two control VMs that answer at the same time.
-    // A leader was cut off and another one elected, which this voter has heard; the former one comes back and asks.
+    // Visible failure: two control VMs serve requests at the same time.
+    // A leader was partitioned and another one elected, whose heartbeat this voter has received; the former leader reconnects and requests its vote.
     auto one = OneCore({}, 2, second);
     one.run(milliseconds(1000), Received{third, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}});
     one.sync(milliseconds(1000));
     CHECK_FALSE(grants(one.run(milliseconds(1001), Received{second, preRequest})));
 }
 
-TEST_CASE("the first heartbeat of a leader is answered once the disk knows the leader")
+TEST_CASE("the first heartbeat of a leader is answered after the leader's identity is synced")
 {
-    // The caller sees: two control VMs that answer at the same time.
-    // A voter answers the new leader and loses its power before its disk knows of it. It would come back as a voter of the former leader and
-    // give that one its vote at once, while the new leader counts on the answer.
+    // Visible failure: two control VMs serve requests at the same time.
+    // A voter answers the new leader and loses power before its disk holds that leader's identity. After the restart it would take the former
+    // leader for the last one and grant it its vote at once, while the new leader's lease relies on the answer.
     auto one = OneCore();
     CHECK(sent<HeartbeatReply>(one.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}})).empty());
     CHECK(sent<HeartbeatReply>(one.sync(milliseconds(1005))).size() == 1);
     CHECK(sent<HeartbeatReply>(one.run(milliseconds(1050), Received{second, Heartbeat{ElectionTerm(3), Round(2), LogIndex()}})).size() == 1);
 }
 
-TEST_CASE("a restarted leader asks for votes at once, again as others are reached, and until they are free to give them")
+TEST_CASE("a restarted leader requests votes at once, again when a voter becomes reachable, and until voters may grant them")
 {
-    // The caller sees: nothing is served for an election timeout, because the first round met VMs that were not connected yet.
+    // Visible failure: no request is served for an election timeout, because the first vote requests went to VMs that were not connected yet.
     auto one = OneCore({}, 4, first);
     CHECK(one.core.deadline() <= one.at(milliseconds(0)));
     CHECK(sent<VoteRequest>(one.run(milliseconds(0), Timer())).size() == 2);
@@ -189,15 +189,15 @@
     CHECK(sent<VoteRequest>(one.run(milliseconds(50), Timer())).size() == 2);
     one.run(milliseconds(60), Received{third, VoteReply{ElectionTerm(5), true, true}});
     CHECK(one.core.role() == CoreRole::Candidate);
-    // It had no lease to uphold but its own, so that it is free to vote for another one.
+    // It supported no lease but its own, so it may vote for another candidate.
     auto other = OneCore({}, 4, first);
     CHECK(grants(other.run(milliseconds(1), Received{third, preRequest})));
 }
 
-TEST_CASE("where the leader's VM comes back empty, the others wait for no lease of its former process")
+TEST_CASE("voters do not wait for the lease of a leader whose VM restarts with an empty disk")
 {
-    // The caller sees: nothing is served for an election timeout more, because the VM that lost its disk in the loss of power was the leader.
-    // It comes back under a new identity, which tells the others that the process which held the lease has ended.
+    // Visible failure: no request is served for one more election timeout, because the VM that lost its disk in the power failure was the leader.
+    // It restarts under a new replica ID, which proves to the others that the process that held the lease has ended.
     auto one = OneCore({}, 4, second);
     one.run(milliseconds(10), Ended{third});
     CHECK_FALSE(grants(one.run(milliseconds(11), Received{third, preRequest})));
@@ -206,11 +206,11 @@
     CHECK(grants(one.run(milliseconds(13), Received{third, preRequest})));
 }
 
-TEST_CASE("a late word of an identity before the leader's frees no vote")
+TEST_CASE("a delayed message from an earlier replica ID of the leader's VM releases no vote")
 {
-    // The caller sees: two control VMs that answer at the same time.
-    // A VM lost its disk twice, and is the leader under its third identity. A message in which it asked to join under the second one lay in
-    // the buffers of a VM that stood still, and is read after the leader's heartbeat.
+    // Visible failure: two control VMs serve requests at the same time.
+    // A VM lost its disk twice and leads under its third replica ID. A join request under its second ID stayed in the receive buffers of a
+    // paused VM, which reads it after the leader's heartbeat.
     auto one = OneCore();
     one.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(4), Round(1), LogIndex()}});
     one.sync(milliseconds(1000));
@@ -218,21 +218,21 @@
     CHECK_FALSE(grants(one.run(milliseconds(1002), Received{third, preRequest})));
 }
 
-TEST_CASE("a vote is sent after it is synced")
+TEST_CASE("a vote is sent only after it is synced")
 {
-    // The caller sees: two leaders of one term, each of which acknowledges changes.
-    // A voter gives its vote, loses power before the sync, and gives another vote in the same term.
-    // The vote leaves only once the disk holds it.
+    // Visible failure: two leaders in one term, each of which acknowledges changes.
+    // A voter grants its vote, loses power before the sync, and grants another vote in the same term.
+    // A vote is therefore sent only after the disk holds it.
     auto one = OneCore();
     CHECK_FALSE(grants(one.run(milliseconds(300), Received{third, request})));
     CHECK(grants(one.sync(milliseconds(300))));
 }
 
-TEST_CASE("the leader lease is shorter than the time for which voters keep their votes")
+TEST_CASE("the leader lease is shorter than the time for which voters withhold their votes")
 {
-    // The caller sees: a read of the former leader that lacks an acknowledged change.
-    // A leader is cut off right after a heartbeat; its clock is slow by the drift bound.
-    // The lease counts from the send of the heartbeat and leaves room for the drift.
+    // Visible failure: a read from the former leader lacks an acknowledged change.
+    // A leader is partitioned right after a heartbeat; its clock is slow by the drift bound.
+    // The lease starts when the heartbeat is sent and is shortened by the drift bound.
     auto one = OneCore();
     one.lead(milliseconds(700));
     one.sync(milliseconds(700));
@@ -243,11 +243,11 @@
     CHECK_FALSE(one.core.holdsLeaderLease(one.at(milliseconds(970))));
 }
 
-TEST_CASE("a leader without a lease answers a read only after a round of heartbeats that began later")
+TEST_CASE("a leader without a lease answers a read only after a heartbeat round that starts after the read")
 {
-    // The caller sees: a read that lacks a change that was acknowledged before.
-    // The leader was cut off long enough for another one to be elected and to commit.
-    // A quorum that answers a later heartbeat proves that there was none.
+    // Visible failure: a read lacks a change that was acknowledged before it.
+    // The leader was partitioned for long enough that another one could be elected and commit.
+    // A quorum that answers a heartbeat sent after the read proves that no other leader was elected.
     auto one = OneCore();
     one.lead(milliseconds(700));
     one.sync(milliseconds(700));
@@ -260,11 +260,11 @@
     CHECK(count<ReadReady>(one.run(milliseconds(1120), Received{second, HeartbeatReply{ElectionTerm(2), Round(2)}})) == 1);
 }
 
-TEST_CASE("an entry of an earlier term is committed only by one of the own term")
+TEST_CASE("an entry of an earlier term is committed only through an entry of the leader's own term")
 {
-    // The caller sees: an acknowledged change that vanishes.
-    // A new leader finds an entry of an earlier term on a quorum. A VM with an entry of a term in between could still be
-    // elected and overwrite it. Only an own entry above it shuts that VM out.
+    // Visible failure: an acknowledged change is lost.
+    // A new leader finds an entry of an earlier term on a quorum. A VM with an entry of a term in between could still be elected and
+    // overwrite it. Only a later entry of the leader's own term on a quorum prevents that VM from being elected.
     auto one = OneCore({entry(2, 2)}, 2);
     one.lead(milliseconds(700));
     one.sync(milliseconds(700));
@@ -274,10 +274,10 @@
     CHECK(one.core.commitIndex() == LogIndex(3));
 }
 
-TEST_CASE("an acknowledgement that waits for the disk is dropped when the term changes")
+TEST_CASE("an acknowledgement that waits for a disk sync is dropped when the term changes")
 {
-    // The caller sees: an acknowledged change that vanishes.
-    // A follower writes an entry; before the sync another leader arises, for which it voted and which may cut the entry.
+    // Visible failure: an acknowledged change is lost.
+    // A follower writes an entry; before the sync it votes for another leader, which is elected and may truncate the entry.
     // The acknowledgement for the former leader could then count for an entry that the follower no longer holds.
     auto one = OneCore();
     const auto append = AppendRequest{ElectionTerm(2), LogIndex(1), ElectionTerm(1), {entry(2, 2)}, LogIndex()};
@@ -286,11 +286,11 @@
     CHECK(sent<AppendReply>(one.sync(milliseconds(510))).empty());
 }
 
-TEST_CASE("a leader that hears no quorum steps down and fails what it was asked")
+TEST_CASE("a leader without answers from a quorum steps down and fails its pending requests")
 {
-    // The caller sees: a request that hangs until its own timeout.
-    // A partition cuts the leader off from the others, but not from a proxy.
-    // It notices within the maximum election timeout, and the proxy goes to another VM.
+    // Visible failure: a request hangs until its own timeout.
+    // A partition separates the leader from the other voters, but not from a proxy.
+    // The leader steps down within the maximum election timeout, and the proxy fails over to another VM.
     auto one = OneCore();
     one.lead(milliseconds(700));
     one.sync(milliseconds(700));
@@ -300,10 +300,10 @@
     CHECK(one.core.role() == CoreRole::Follower);
 }
 
-TEST_CASE("a replica whose disk failed acknowledges nothing, gives no vote and does not stand for election")
+TEST_CASE("a replica whose disk failed acknowledges nothing, grants no vote and does not stand for election")
 {
-    // The caller sees: an acknowledged change that is gone after a restart.
-    // A sync fails; the entries that it was for may be lost although a later sync succeeds.
+    // Visible failure: an acknowledged change is lost after a restart.
+    // A sync fails; the entries that it covered may be lost although a later sync succeeds.
     auto one = OneCore();
     one.run(milliseconds(100), Received{second, AppendRequest{ElectionTerm(2), LogIndex(1), ElectionTerm(1), {entry(2, 2)}, LogIndex()}});
     one.run(milliseconds(110), DiskFailed());
@@ -315,11 +315,11 @@
     CHECK(std::get<Failed>(failed.front()).failure == ProposalFailure::StorageFailed);
 }
 
-TEST_CASE("parts of a snapshot from two leaders are not joined")
+TEST_CASE("chunks of snapshots from two leaders are not combined")
 {
-    // The caller sees: a configuration that nobody wrote.
-    // The leader goes while it sends a snapshot; its successor has one of the same index, encoded otherwise, and starts further on.
-    // The follower asks the successor for the whole.
+    // Visible failure: a configuration that nobody wrote.
+    // The leader fails while it sends a snapshot; its successor has one of the same index with another encoding, and starts at a later offset.
+    // The follower requests the whole snapshot from the successor.
     auto one = OneCore();
     const auto part = Bytes(40, std::byte(1));
     const auto chunk = [&one, &part](std::uint64_t term, std::uint64_t offset, bool last) {
@@ -332,12 +332,12 @@
     CHECK(sent<SnapshotReply>(actions).at(0).offset == 0);
 }
 
-TEST_CASE("a learner is not made a voter before it holds what is committed, nor two changes made at once")
+TEST_CASE("a learner is promoted only after it has caught up, and only one membership change is in progress at a time")
 {
-    // The caller sees: control that stops when one more VM is lost right after a repair.
-    // An empty learner counted as a voter raises the quorum without holding anything.
+    // Visible failure: the control group loses its quorum when one more VM is lost right after a repair.
+    // An empty learner that is promoted raises the quorum size without holding any entry.
     auto one = OneCore();
-    // The founding entry is known to be committed, so only the missing own entry stands against the first change.
+    // The initial configuration entry is known to be committed, so the first change is only rejected for want of a committed entry of the own term.
     one.run(milliseconds(50), Received{second, Heartbeat{ElectionTerm(2), Round(1), LogIndex(1)}});
     one.lead(milliseconds(700));
     auto members = one.core.members().members;
--- a/unittests/Consensus/fakegroup.cpp
+++ b/unittests/Consensus/fakegroup.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/// Few entries are kept and messages are small, so that short schedules reach snapshots in several parts.
+/// Keeps few log entries and limits messages to a few bytes, so that short schedules transfer snapshots in several chunks.
 auto smallSettings(std::size_t size) -> CoreSettings
 {
     auto settings = CoreSettings();
@@ -26,7 +26,7 @@
 auto require(bool holds, const std::string &promise) -> void
 {
     if (!holds) {
-        throw std::runtime_error("broken: " + promise);
+        throw std::runtime_error("invariant violated: " + promise);
     }
 }
 
@@ -119,7 +119,7 @@
 auto FakeGroup::localTime(const FakeVm &vm) const -> TimePoint
 {
     const auto local = static_cast<double>(this->time.count()) * vm.clockRate;
-    // Each clock starts elsewhere.
+    // Each clock has another offset.
     const auto offset = std::chrono::hours(vm.vm.value().back() - '0' + 1);
     return TimePoint(offset + std::chrono::nanoseconds(static_cast<std::int64_t>(local)));
 }
@@ -155,7 +155,7 @@
     for (auto &action : vm.core->handle(event, this->localTime(vm))) {
         this->perform(vm, std::move(action));
     }
-    require(vm.appliedIndex == vm.core->commitIndex(), "what is committed is applied at once");
+    require(vm.appliedIndex == vm.core->commitIndex(), "committed entries are applied at once");
     this->checkLeaders();
 }
 
@@ -199,7 +199,7 @@
             expected.emplace_back(index, command->bytes);
         }
     }
-    require(vm.applied == expected, "a snapshot holds what was committed up to its index");
+    require(vm.applied == expected, "a snapshot holds all commands committed up to its index");
 }
 
 auto FakeGroup::readReady(const FakeVm &vm, RequestNumber number) -> void
@@ -473,9 +473,9 @@
     this->read(*leader);
     this->runCalmly(std::chrono::milliseconds(1000));
     for (const auto &vm : this->vms) {
-        require(vm.appliedIndex == this->committed.rbegin()->first, "all of a healed group apply all that is committed");
-        require(isVoterIn(vm.core->members(), vm.replica), "all of a healed group are voters");
-        require(vm.core->members().members.size() == this->vms.size(), "replicas of lost disks leave the group");
+        require(vm.appliedIndex == this->committed.rbegin()->first, "all VMs of a healed group apply all committed entries");
+        require(isVoterIn(vm.core->members(), vm.replica), "all VMs of a healed group are voters");
+        require(vm.core->members().members.size() == this->vms.size(), "replicas whose disks were lost are removed from the group");
     }
     require(this->reads.empty(), "a healed group answers reads");
     this->checkLogs();
@@ -489,15 +489,15 @@
             continue;
         }
         const auto [known, added] = this->leaders.emplace(vm.core->term(), vm.replica);
-        require(added || known->second == vm.replica, "one leader per term");
+        require(added || known->second == vm.replica, "at most one leader per term");
         if (vm.core->holdsLeaderLease(this->localTime(vm))) {
-            require(holder == nullptr, "one VM holds the leader lease");
+            require(holder == nullptr, "at most one VM holds the leader lease");
             holder = &vm;
         }
     }
     for (const auto &vm : this->vms) {
         const auto leads = vm.core != nullptr && vm.core->role() == CoreRole::Leader;
-        require(holder == nullptr || !leads || vm.core->term() <= holder->core->term(), "nobody is elected while another VM holds the leader lease");
+        require(holder == nullptr || !leads || vm.core->term() <= holder->core->term(), "no VM is elected while another one holds the leader lease");
     }
 }
 
@@ -506,7 +506,7 @@
     for (const auto &vm : this->vms) {
         const auto &log = vm.core->log();
         for (auto index = log.baseIndex().next(); index <= vm.core->commitIndex(); index = index.next()) {
-            require(this->committed.at(index) == log.at(index), "logs match");
+            require(this->committed.at(index) == log.at(index), "committed log entries match");
         }
     }
 }
--- a/unittests/Consensus/fakegroup.h
+++ b/unittests/Consensus/fakegroup.h
@@ -1,4 +1,4 @@
-// fakegroup.h: cores with fake disks and a fake network under a virtual clock, and the promises checked after each step.
+// fakegroup.h: a simulated group of cores with fake disks, network and clocks; Raft invariants are checked after each step.
 #pragma once
 
 #include "sapphirespool/Consensus/core.h"
@@ -15,7 +15,7 @@
 namespace sapphirespool::consensus
 {
 
-/// What is on a fake disk.
+/// The durable state on a fake disk.
 struct FakeDisk
 {
     HardState hard;
@@ -28,19 +28,19 @@
 {
     VmId vm;
     ReplicaId replica;
-    /// Rate of its clock; within the drift bound of the settings.
+    /// Rate of its clock relative to simulated time; within the drift bound of the settings.
     double clockRate = 1.0;
     std::unique_ptr<Core> core;
     FakeDisk synced;
-    /// Writes that a crash may lose, in order.
+    /// Unsynced writes in order. A crash may lose them.
     std::deque<Action> unsynced;
-    /// Commands applied, by index; restored from snapshots.
+    /// Applied commands with their indexes; restored from snapshots.
     std::vector<std::pair<LogIndex, Bytes>> applied;
     LogIndex appliedIndex;
     bool isolated = false;
 };
 
-/// A group under test. Each function throws std::runtime_error if a promise is broken.
+/// A simulated group. Each function throws std::runtime_error if an invariant is violated.
 class FakeGroup
 {
 public:
@@ -54,20 +54,20 @@
     auto syncDisk(std::size_t vm) -> void;
     auto propose(std::size_t vm, std::uint8_t value) -> void;
     auto read(std::size_t vm) -> void;
-    /// Ends the process; of the writes that are not synced the first \p kept reach the disk.
+    /// Ends the process. The first \p kept unsynced writes reach the disk; the others are lost.
     auto crash(std::size_t vm, std::size_t kept) -> void;
     auto restart(std::size_t vm) -> void;
-    /// Ends the processes of all VMs, or of all but one, and starts them again in some order.
+    /// Simulates a power failure: crashes all VMs, or all but one, and restarts them in an order derived from \p pick.
     auto loseSeveral(std::size_t pick) -> void;
     auto isolate(std::size_t vm) -> void;
     auto heal(std::size_t vm) -> void;
-    /// Empties the disk, unless the group could not survive that.
+    /// Crashes the VM and restarts it with an empty disk and a new replica ID, unless the group would lose its quorum.
     auto loseDisk(std::size_t vm) -> void;
-    /// Lets each leader propose the change that repair.h chooses.
+    /// Each leader proposes the membership change that nextMemberChange() returns.
     auto repair() -> void;
     auto takeSnapshot(std::size_t vm) -> void;
 
-    /// Heals and restarts all, lets time pass, and requires that one leader commits on all VMs and all are voters again.
+    /// Reconnects and restarts all VMs, advances the time, and requires that one leader commits on all VMs and that all are voters again.
     auto settle() -> void;
 
     [[nodiscard]] auto size() const -> std::size_t;
@@ -75,9 +75,9 @@
     [[nodiscard]] auto leaderIndex() const -> std::optional<std::size_t>;
     [[nodiscard]] auto committedCount() const -> std::size_t;
     [[nodiscard]] auto localTime(const FakeVm &vm) const -> TimePoint;
-    /// Runs an event through a VM's core and its actions.
+    /// Passes an event to a VM's core and performs the resulting actions.
     auto handle(FakeVm &vm, const CoreEvent &event) -> void;
-    /// Messages and syncs in order, in small steps of time.
+    /// Runs without faults: delivers messages in order and syncs all disks, in small time steps.
     auto runCalmly(std::chrono::milliseconds time) -> void;
 
 private:
@@ -117,7 +117,7 @@
     std::uint64_t nextNumber = 1;
     std::map<RequestNumber, PendingRead> reads;
     std::map<ElectionTerm, ReplicaId> leaders;
-    /// Each entry as it was first applied anywhere.
+    /// Each committed entry as the first VM applied it.
     std::map<LogIndex, Entry> committed;
 };
 
--- a/unittests/Consensus/joiningtest.cpp
+++ b/unittests/Consensus/joiningtest.cpp
@@ -22,10 +22,10 @@
 
 } // namespace
 
-TEST_CASE("a learner takes the place of a voter that is lost, and of no other")
+TEST_CASE("a learner replaces a lost voter only")
 {
-    // A control VM is replaced by one at another address. Kept as a voter, the lost one would count against the group: the next loss
-    // would stop it.
+    // A control VM is replaced by one at another address. If the lost VM remained a voter, it would still count towards the quorum size, and
+    // the group would lose its quorum with the next lost VM.
     auto group = Members{{memberOf(1, true), memberOf(2, true), memberOf(3, true), memberOf(4, false)}, true};
     auto rules = RepairRules();
     rules.voters = 3;
@@ -45,7 +45,7 @@
     CHECK(promoted->back().voter);
 }
 
-TEST_CASE("a lost learner goes, and requests beyond the size wait")
+TEST_CASE("a lost learner is removed, and join requests beyond the group size wait")
 {
     const auto group = Members{{memberOf(1, true), memberOf(2, false)}, true};
     auto rules = RepairRules();
@@ -64,10 +64,10 @@
     CHECK_FALSE(nextMemberChange(group, std::span(&request, 1), caughtUp, rules));
 }
 
-TEST_CASE("a VM that starts later founds no second group, and others join only where that is allowed")
+TEST_CASE("a VM that may not found a group founds none, and unlisted VMs join only if that is allowed")
 {
-    // All control VMs lost their disks but one, which is down. The others find each other empty; founding a group anew would forget
-    // what was acknowledged.
+    // All control VMs but one lost their disks, and that one is down. The others have no log; founding a new group would lose all
+    // acknowledged changes.
     const auto members = std::vector{ControlMember{VmId("a"), {}, true, {}}, ControlMember{VmId("b"), {}, true, {}}};
     auto later = Formation(VmId("a"), members, false, true);
     later.noteAnswer(VmId("b"), true);
--- a/unittests/Consensus/randomscheduletest.cpp
+++ b/unittests/Consensus/randomscheduletest.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// How likely the steps of a schedule are, in percent; the rest delivers messages.
+/// Probabilities of the steps of a schedule, in percent. The remaining steps deliver the oldest message.
 struct Weights
 {
     std::uint32_t drop = 4;
@@ -35,7 +35,7 @@
     std::uint32_t read = 5;
 };
 
-/// Picks the step that \p number stands for; each call takes its weight off the rest.
+/// Maps a random number to one step: the number modulo 100 selects the step by weight, the quotient is its argument.
 class Chooser
 {
 public:
@@ -131,7 +131,7 @@
     }
 }
 
-/// Runs random schedules of a group that already has a leader, then heals it.
+/// Runs random schedules on groups that already have a leader, then heals each group and checks that it recovers.
 auto checkSchedules(std::size_t size, const Weights &weights, int schedules, std::uint64_t seed) -> bool
 {
     auto parameters = rc::detail::TestParams();
@@ -156,23 +156,24 @@
 
 } // namespace
 
-TEST_CASE("three control VMs keep the promises under drops, doubles, reorders, partitions, crashes and lost disks")
+TEST_CASE("three control VMs keep the invariants under dropped, duplicated and reordered messages, partitions, crashes and lost disks")
 {
-    // The caller sees: an accepted change that later vanishes, or two answers to one question.
-    // Messages are dropped, doubled and delivered out of order, VMs are cut off, crash between write and sync, and lose disks.
-    // Each is met by a rule of the core (quorums, synced before counted, terms, leases); this looks for schedules that slip through.
+    // Visible failure: an acknowledged change is lost later, or two VMs give different answers to one request.
+    // Messages are dropped, duplicated and reordered; VMs are partitioned, crash between write and sync, and lose their disks.
+    // The core has a rule against each fault (quorums, sync before acknowledgement, terms, leases); this searches for schedules that
+    // violate an invariant nevertheless.
     CHECK(checkSchedules(3, Weights(), 1500, 1));
 }
 
-TEST_CASE("five control VMs keep the promises under the same faults")
+TEST_CASE("five control VMs keep the invariants under the same faults")
 {
-    // As with three, but a second VM may be lost while the first is being repaired.
+    // As with three VMs, but a second VM may be lost while the first one is being replaced.
     CHECK(checkSchedules(5, Weights(), 700, 2));
 }
 
-TEST_CASE("leadership that changes hands all the time loses nothing")
+TEST_CASE("frequent leader changes lose no committed entry")
 {
-    // Partitions and crashes at five times the rate: most entries are half replicated when their leader goes.
+    // More frequent partitions (five times the default rate) and crashes: most entries are partly replicated when their leader fails.
     auto weights = Weights();
     weights.isolate = 5;
     weights.heal = 8;
@@ -182,11 +183,11 @@
     CHECK(checkSchedules(3, weights, 1000, 3));
 }
 
-TEST_CASE("losses of power of all VMs, or of all but one, leave one leader at a time and lose nothing")
+TEST_CASE("power failures of all VMs, or of all but one, leave one leader at a time and lose no committed entry")
 {
-    // The caller sees: two control VMs that answer, one of them for a past that the other one has changed.
-    // VMs lose their power at the same moment, some with writes that never reached the disk, and ask for votes as soon as they are back, the
-    // former leader at once. Its lease has ended with its process; that of another leader may live where that one was spared.
+    // Visible failure: two control VMs serve requests, one of them from a state that the other one has changed since.
+    // VMs lose power at the same time, some with writes that never reached the disk, and request votes after their restart, the former leader
+    // at once. Its lease ended with its process; the lease of another leader may still be valid if that leader kept its power.
     auto weights = Weights();
     weights.loseSeveral = 4;
     weights.isolate = 4;
@@ -197,9 +198,9 @@
     CHECK(checkSchedules(5, weights, 700, 7));
 }
 
-TEST_CASE("disks that are lost again and again, and repaired, lose nothing")
+TEST_CASE("repeated disk losses with repairs lose no committed entry")
 {
-    // A VM returns empty under a new identity, is repaired, and a second VM loses its disk right after.
+    // A VM restarts with an empty disk under a new replica ID and rejoins, and a second VM loses its disk right after.
     auto weights = Weights();
     weights.loseDisk = 4;
     weights.repair = 12;
--- a/unittests/Consensus/replicatest.cpp
+++ b/unittests/Consensus/replicatest.cpp
@@ -20,7 +20,7 @@
 namespace
 {
 
-/// Keeps all commands in their order.
+/// A state machine that records all commands in the order of the log.
 class CommandList : public StateMachine
 {
 public:
@@ -43,7 +43,7 @@
     Bytes commands;
 };
 
-/// A control VM of the test: its replica, and a listener for the others.
+/// A control VM of the test: its replica, and the listener that accepts connections of the other replicas.
 struct ControlVm
 {
     VmId vm;
@@ -56,7 +56,7 @@
     kj::Maybe<kj::Promise<void>> listening;
 };
 
-/// Three control VMs on one loop, over real sockets and disks.
+/// Three control VMs on one event loop, with real sockets and disks.
 class ThreeVms
 {
 public:
@@ -111,7 +111,7 @@
         vm.replica.reset();
     }
 
-    /// Runs the loop until \p reached.
+    /// Runs the event loop until \p reached returns true.
     auto runUntil(const std::function<bool()> &reached) -> void
     {
         while (!reached()) {
@@ -141,7 +141,7 @@
         }));
     }
 
-    /// Proposes \p value at whichever VM leads, until it is applied.
+    /// Proposes \p value to the current leader, and again after each failure, until it is applied.
     auto commit(int value) -> void
     {
         auto applied = false;
@@ -169,11 +169,11 @@
 
 } // namespace
 
-TEST_CASE("control VMs found a group, survive a restart of all and take a VM back that lost its disk")
+TEST_CASE("control VMs found a group, survive a restart of all VMs and readmit a VM that lost its disk")
 {
-    // The caller sees: an accepted change that is gone after the VMs were restarted, or a group that stays one VM short.
-    // Three empty VMs found a group and commit; all stop and start again; then one loses its disk and returns, and another one stops.
-    // The log is synced before it counts, and an empty VM is taken in as a learner before it votes.
+    // Visible failure: an acknowledged change is lost after a restart of all VMs, or the group stays one voter short.
+    // Three empty VMs found a group and commit; all stop and restart; then one loses its disk and rejoins, and another one stops.
+    // Log entries are synced before they are acknowledged, and an empty VM joins as a learner before it becomes a voter.
     auto group = ThreeVms();
     for (auto &vm : group.vms) {
         group.start(vm);
