--- a/unittests/Consensus/coretest.cpp
+++ b/unittests/Consensus/coretest.cpp
@@ -23,11 +23,11 @@
 }
 
 /// A core in a group of three voters. \p entries follow the initial configuration entry in its log.
-class OneCore
+class CoreFixture
 {
 public:
-    explicit OneCore(std::vector<Entry> entries = {}, std::uint64_t term = 1, ReplicaId leader = ReplicaId())
-        : core(first, CoreSettings(), recovered(std::move(entries), term, leader), 1, this->at(milliseconds(0)))
+    explicit CoreFixture(std::vector<Entry> entries = {}, std::uint64_t term = 1, ReplicaId leader = ReplicaId())
+        : core(first, CoreSettings(), recoveredState(std::move(entries), term, leader), 1, this->at(milliseconds(0)))
     {
     }
 
@@ -36,7 +36,7 @@
         return TimePoint(std::chrono::hours(1)) + time;
     }
 
-    auto run(milliseconds time, const CoreEvent &event) -> Actions
+    auto handle(milliseconds time, const CoreEvent &event) -> Actions
     {
         auto actions = this->core.handle(event, this->at(time));
         for (const auto &action : actions) {
@@ -49,16 +49,16 @@
 
     auto sync(milliseconds time) -> Actions
     {
-        return this->run(time, DiskSynced{this->lastToken});
+        return this->handle(time, DiskSynced{this->lastToken});
     }
 
     /// Makes the core win the pre-vote and the election at \p time.
-    auto lead(milliseconds time) -> void
+    auto winElection(milliseconds time) -> void
     {
-        this->run(time, Timer());
-        this->run(time, Received{second, VoteReply{this->core.term().next(), true, true}});
+        this->handle(time, Timer());
+        this->handle(time, Received{second, VoteReply{this->core.term().next(), true, true}});
         this->sync(time);
-        this->run(time, Received{second, VoteReply{this->core.term(), false, true}});
+        this->handle(time, Received{second, VoteReply{this->core.term(), false, true}});
         REQUIRE(this->core.role() == CoreRole::Leader);
     }
 
@@ -66,7 +66,7 @@
     PersistToken lastToken;
 
 private:
-    static auto recovered(std::vector<Entry> entries, std::uint64_t term, ReplicaId leader) -> Recovered
+    static auto recoveredState(std::vector<Entry> entries, std::uint64_t term, ReplicaId leader) -> Recovered
     {
         auto group = Members{{}, true};
         for (const auto replica : {first, second, third}) {
@@ -79,7 +79,7 @@
 };
 
 template <typename Kind>
-auto sent(const Actions &actions) -> std::vector<Kind>
+auto sentMessages(const Actions &actions) -> std::vector<Kind>
 {
     auto found = std::vector<Kind>();
     for (const auto &action : actions) {
@@ -93,23 +93,23 @@
 }
 
 template <typename Kind>
-auto count(const Actions &actions) -> std::ptrdiff_t
+auto countActions(const Actions &actions) -> std::ptrdiff_t
 {
     return std::count_if(actions.begin(), actions.end(), [](const Action &action) {
         return std::holds_alternative<Kind>(action);
     });
 }
 
-auto grants(const Actions &actions) -> bool
+auto grantsVote(const Actions &actions) -> bool
 {
-    const auto replies = sent<VoteReply>(actions);
+    const auto replies = sentMessages<VoteReply>(actions);
     return std::any_of(replies.begin(), replies.end(), [](const VoteReply &reply) {
         return reply.granted;
     });
 }
 
-const auto request = VoteRequest{ElectionTerm(5), false, LogIndex(9), ElectionTerm(4)};
-const auto preRequest = VoteRequest{ElectionTerm(5), true, LogIndex(9), ElectionTerm(4)};
+const auto voteRequest = VoteRequest{ElectionTerm(5), false, LogIndex(9), ElectionTerm(4)};
+const auto preVoteRequest = VoteRequest{ElectionTerm(5), true, LogIndex(9), ElectionTerm(4)};
 
 } // namespace
 
@@ -118,15 +118,15 @@
     // Visible failure: a write acknowledged by one leader is missing at another one.
     // A leader relies on its lease while a candidate requests the vote of a voter that has just received that leader's heartbeat.
     // The voter withholds its vote for longer than the lease lasts, so no other leader is elected during the lease.
-    auto one = OneCore();
-    one.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(2), Round(1), LogIndex()}});
-    CHECK_FALSE(grants(one.run(milliseconds(1299), Received{third, preRequest})));
-    one.run(milliseconds(1299), Received{third, request});
-    CHECK_FALSE(grants(one.sync(milliseconds(1299))));
-    CHECK(one.core.term() == ElectionTerm(2));
-    CHECK(grants(one.run(milliseconds(1300), Received{third, preRequest})));
-    one.run(milliseconds(1300), Received{third, request});
-    CHECK(grants(one.sync(milliseconds(1300))));
+    auto fixture = CoreFixture();
+    fixture.handle(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(2), Round(1), LogIndex()}});
+    CHECK_FALSE(grantsVote(fixture.handle(milliseconds(1299), Received{third, preVoteRequest})));
+    fixture.handle(milliseconds(1299), Received{third, voteRequest});
+    CHECK_FALSE(grantsVote(fixture.sync(milliseconds(1299))));
+    CHECK(fixture.core.term() == ElectionTerm(2));
+    CHECK(grantsVote(fixture.handle(milliseconds(1300), Received{third, preVoteRequest})));
+    fixture.handle(milliseconds(1300), Received{third, voteRequest});
+    CHECK(grantsVote(fixture.sync(milliseconds(1300))));
 }
 
 TEST_CASE("a restarted voter grants no vote for the minimum election timeout")
@@ -134,37 +134,37 @@
     // Visible failure: a write acknowledged by one leader is missing at another one.
     // A voter answers a heartbeat and restarts at once, which loses the time of the heartbeat; then a candidate requests its vote.
     // The voter withholds its vote for one minimum election timeout after each start.
-    auto one = OneCore();
-    one.run(milliseconds(299), Received{third, request});
-    CHECK_FALSE(grants(one.sync(milliseconds(299))));
-    one.run(milliseconds(300), Received{third, request});
-    CHECK(grants(one.sync(milliseconds(300))));
+    auto fixture = CoreFixture();
+    fixture.handle(milliseconds(299), Received{third, voteRequest});
+    CHECK_FALSE(grantsVote(fixture.sync(milliseconds(299))));
+    fixture.handle(milliseconds(300), Received{third, voteRequest});
+    CHECK(grantsVote(fixture.sync(milliseconds(300))));
 }
 
 TEST_CASE("the restarted leader of the last term is granted votes at once")
 {
     // Visible failure: no request is served for a second after a power failure, because each voter waits for a lease to expire.
     // All VMs restart. A voter can only have supported the lease of the leader of its term. That leader now requests its vote, so it no longer leads.
-    auto restarted = OneCore({}, 4, second);
-    CHECK(grants(restarted.run(milliseconds(1), Received{second, preRequest})));
-    restarted.run(milliseconds(2), Received{second, request});
-    CHECK(grants(restarted.sync(milliseconds(2))));
+    auto restarted = CoreFixture({}, 4, second);
+    CHECK(grantsVote(restarted.handle(milliseconds(1), Received{second, preVoteRequest})));
+    restarted.handle(milliseconds(2), Received{second, voteRequest});
+    CHECK(grantsVote(restarted.sync(milliseconds(2))));
     // A voter that did not restart and has just received that leader's heartbeat may do the same.
-    auto running = OneCore();
-    running.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(4), Round(1), LogIndex()}});
+    auto running = CoreFixture();
+    running.handle(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(4), Round(1), LogIndex()}});
     running.sync(milliseconds(1000));
-    CHECK_FALSE(grants(running.run(milliseconds(1001), Received{third, preRequest})));
-    CHECK(grants(running.run(milliseconds(1002), Received{second, preRequest})));
+    CHECK_FALSE(grantsVote(running.handle(milliseconds(1001), Received{third, preVoteRequest})));
+    CHECK(grantsVote(running.handle(milliseconds(1002), Received{second, preVoteRequest})));
 }
 
 TEST_CASE("the leader of an earlier term is granted no vote before the lease of the current leader expires")
 {
     // Visible failure: two control VMs serve requests at the same time.
     // A leader was partitioned and another one elected, whose heartbeat this voter has received; the former leader reconnects and requests its vote.
-    auto one = OneCore({}, 2, second);
-    one.run(milliseconds(1000), Received{third, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}});
-    one.sync(milliseconds(1000));
-    CHECK_FALSE(grants(one.run(milliseconds(1001), Received{second, preRequest})));
+    auto fixture = CoreFixture({}, 2, second);
+    fixture.handle(milliseconds(1000), Received{third, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}});
+    fixture.sync(milliseconds(1000));
+    CHECK_FALSE(grantsVote(fixture.handle(milliseconds(1001), Received{second, preVoteRequest})));
 }
 
 TEST_CASE("the first heartbeat of a leader is answered after the leader's identity is synced")
@@ -172,38 +172,38 @@
     // Visible failure: two control VMs serve requests at the same time.
     // A voter answers the new leader and loses power before its disk holds that leader's identity. After the restart it would take the former
     // leader for the last one and grant it its vote at once, while the new leader's lease relies on the answer.
-    auto one = OneCore();
-    CHECK(sent<HeartbeatReply>(one.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}})).empty());
-    CHECK(sent<HeartbeatReply>(one.sync(milliseconds(1005))).size() == 1);
-    CHECK(sent<HeartbeatReply>(one.run(milliseconds(1050), Received{second, Heartbeat{ElectionTerm(3), Round(2), LogIndex()}})).size() == 1);
+    auto fixture = CoreFixture();
+    CHECK(sentMessages<HeartbeatReply>(fixture.handle(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}})).empty());
+    CHECK(sentMessages<HeartbeatReply>(fixture.sync(milliseconds(1005))).size() == 1);
+    CHECK(sentMessages<HeartbeatReply>(fixture.handle(milliseconds(1050), Received{second, Heartbeat{ElectionTerm(3), Round(2), LogIndex()}})).size() == 1);
 }
 
 TEST_CASE("a restarted leader requests votes at once, again when a voter becomes reachable, and until voters may grant them")
 {
     // Visible failure: no request is served for an election timeout, because the first vote requests went to VMs that were not connected yet.
-    auto one = OneCore({}, 4, first);
-    CHECK(one.core.deadline() <= one.at(milliseconds(0)));
-    CHECK(sent<VoteRequest>(one.run(milliseconds(0), Timer())).size() == 2);
-    CHECK(sent<VoteRequest>(one.run(milliseconds(30), Reached{second})).size() == 1);
-    CHECK(one.core.deadline() == one.at(milliseconds(50)));
-    CHECK(sent<VoteRequest>(one.run(milliseconds(50), Timer())).size() == 2);
-    one.run(milliseconds(60), Received{third, VoteReply{ElectionTerm(5), true, true}});
-    CHECK(one.core.role() == CoreRole::Candidate);
+    auto fixture = CoreFixture({}, 4, first);
+    CHECK(fixture.core.deadline() <= fixture.at(milliseconds(0)));
+    CHECK(sentMessages<VoteRequest>(fixture.handle(milliseconds(0), Timer())).size() == 2);
+    CHECK(sentMessages<VoteRequest>(fixture.handle(milliseconds(30), Reached{second})).size() == 1);
+    CHECK(fixture.core.deadline() == fixture.at(milliseconds(50)));
+    CHECK(sentMessages<VoteRequest>(fixture.handle(milliseconds(50), Timer())).size() == 2);
+    fixture.handle(milliseconds(60), Received{third, VoteReply{ElectionTerm(5), true, true}});
+    CHECK(fixture.core.role() == CoreRole::Candidate);
     // It supported no lease but its own, so it may vote for another candidate.
-    auto other = OneCore({}, 4, first);
-    CHECK(grants(other.run(milliseconds(1), Received{third, preRequest})));
+    auto otherFixture = CoreFixture({}, 4, first);
+    CHECK(grantsVote(otherFixture.handle(milliseconds(1), Received{third, preVoteRequest})));
 }
 
 TEST_CASE("voters do not wait for the lease of a leader whose VM restarts with an empty disk")
 {
     // Visible failure: no request is served for one more election timeout, because the VM that lost its disk in the power failure was the leader.
     // It restarts under a new replica ID, which proves to the others that the process that held the lease has ended.
-    auto one = OneCore({}, 4, second);
-    one.run(milliseconds(10), Ended{third});
-    CHECK_FALSE(grants(one.run(milliseconds(11), Received{third, preRequest})));
-    one.run(milliseconds(12), Ended{second});
-    CHECK(one.core.deadline() <= one.at(milliseconds(62)));
-    CHECK(grants(one.run(milliseconds(13), Received{third, preRequest})));
+    auto fixture = CoreFixture({}, 4, second);
+    fixture.handle(milliseconds(10), Ended{third});
+    CHECK_FALSE(grantsVote(fixture.handle(milliseconds(11), Received{third, preVoteRequest})));
+    fixture.handle(milliseconds(12), Ended{second});
+    CHECK(fixture.core.deadline() <= fixture.at(milliseconds(62)));
+    CHECK(grantsVote(fixture.handle(milliseconds(13), Received{third, preVoteRequest})));
 }
 
 TEST_CASE("a delayed message from an earlier replica ID of the leader's VM releases no vote")
@@ -211,11 +211,11 @@
     // Visible failure: two control VMs serve requests at the same time.
     // A VM lost its disk twice and leads under its third replica ID. A join request under its second ID stayed in the receive buffers of a
     // paused VM, which reads it after the leader's heartbeat.
-    auto one = OneCore();
-    one.run(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(4), Round(1), LogIndex()}});
-    one.sync(milliseconds(1000));
-    one.run(milliseconds(1001), Ended{second});
-    CHECK_FALSE(grants(one.run(milliseconds(1002), Received{third, preRequest})));
+    auto fixture = CoreFixture();
+    fixture.handle(milliseconds(1000), Received{second, Heartbeat{ElectionTerm(4), Round(1), LogIndex()}});
+    fixture.sync(milliseconds(1000));
+    fixture.handle(milliseconds(1001), Ended{second});
+    CHECK_FALSE(grantsVote(fixture.handle(milliseconds(1002), Received{third, preVoteRequest})));
 }
 
 TEST_CASE("a vote is sent only after it is synced")
@@ -223,9 +223,9 @@
     // Visible failure: two leaders in one term, each of which acknowledges changes.
     // A voter grants its vote, loses power before the sync, and grants another vote in the same term.
     // A vote is therefore sent only after the disk holds it.
-    auto one = OneCore();
-    CHECK_FALSE(grants(one.run(milliseconds(300), Received{third, request})));
-    CHECK(grants(one.sync(milliseconds(300))));
+    auto fixture = CoreFixture();
+    CHECK_FALSE(grantsVote(fixture.handle(milliseconds(300), Received{third, voteRequest})));
+    CHECK(grantsVote(fixture.sync(milliseconds(300))));
 }
 
 TEST_CASE("the leader lease is shorter than the time for which voters withhold their votes")
@@ -233,14 +233,14 @@
     // Visible failure: a read from the former leader lacks an acknowledged change.
     // A leader is partitioned right after a heartbeat; its clock is slow by the drift bound.
     // The lease starts when the heartbeat is sent and is shortened by the drift bound.
-    auto one = OneCore();
-    one.lead(milliseconds(700));
-    one.sync(milliseconds(700));
-    one.run(milliseconds(710), Received{second, AppendReply{ElectionTerm(2), true, LogIndex(2), ElectionTerm()}});
-    CHECK_FALSE(one.core.holdsLeaderLease(one.at(milliseconds(711))));
-    one.run(milliseconds(800), Received{second, HeartbeatReply{ElectionTerm(2), Round(1)}});
-    CHECK(one.core.holdsLeaderLease(one.at(milliseconds(969))));
-    CHECK_FALSE(one.core.holdsLeaderLease(one.at(milliseconds(970))));
+    auto fixture = CoreFixture();
+    fixture.winElection(milliseconds(700));
+    fixture.sync(milliseconds(700));
+    fixture.handle(milliseconds(710), Received{second, AppendReply{ElectionTerm(2), true, LogIndex(2), ElectionTerm()}});
+    CHECK_FALSE(fixture.core.holdsLeaderLease(fixture.at(milliseconds(711))));
+    fixture.handle(milliseconds(800), Received{second, HeartbeatReply{ElectionTerm(2), Round(1)}});
+    CHECK(fixture.core.holdsLeaderLease(fixture.at(milliseconds(969))));
+    CHECK_FALSE(fixture.core.holdsLeaderLease(fixture.at(milliseconds(970))));
 }
 
 TEST_CASE("a leader without a lease answers a read only after a heartbeat round that starts after the read")
@@ -248,16 +248,16 @@
     // Visible failure: a read lacks a change that was acknowledged before it.
     // The leader was partitioned for long enough that another one could be elected and commit.
     // A quorum that answers a heartbeat sent after the read proves that no other leader was elected.
-    auto one = OneCore();
-    one.lead(milliseconds(700));
-    one.sync(milliseconds(700));
-    one.run(milliseconds(710), Received{second, AppendReply{ElectionTerm(2), true, LogIndex(2), ElectionTerm()}});
-    one.run(milliseconds(720), Received{second, HeartbeatReply{ElectionTerm(2), Round(1)}});
-    REQUIRE_FALSE(one.core.holdsLeaderLease(one.at(milliseconds(1100))));
-    CHECK(count<ReadReady>(one.run(milliseconds(1100), ReadRequested{RequestNumber(1)})) == 0);
-    CHECK(count<ReadReady>(one.run(milliseconds(1100), Timer())) == 0);
-    CHECK(count<ReadReady>(one.run(milliseconds(1110), Received{second, HeartbeatReply{ElectionTerm(2), Round(1)}})) == 0);
-    CHECK(count<ReadReady>(one.run(milliseconds(1120), Received{second, HeartbeatReply{ElectionTerm(2), Round(2)}})) == 1);
+    auto fixture = CoreFixture();
+    fixture.winElection(milliseconds(700));
+    fixture.sync(milliseconds(700));
+    fixture.handle(milliseconds(710), Received{second, AppendReply{ElectionTerm(2), true, LogIndex(2), ElectionTerm()}});
+    fixture.handle(milliseconds(720), Received{second, HeartbeatReply{ElectionTerm(2), Round(1)}});
+    REQUIRE_FALSE(fixture.core.holdsLeaderLease(fixture.at(milliseconds(1100))));
+    CHECK(countActions<ReadReady>(fixture.handle(milliseconds(1100), ReadRequested{RequestNumber(1)})) == 0);
+    CHECK(countActions<ReadReady>(fixture.handle(milliseconds(1100), Timer())) == 0);
+    CHECK(countActions<ReadReady>(fixture.handle(milliseconds(1110), Received{second, HeartbeatReply{ElectionTerm(2), Round(1)}})) == 0);
+    CHECK(countActions<ReadReady>(fixture.handle(milliseconds(1120), Received{second, HeartbeatReply{ElectionTerm(2), Round(2)}})) == 1);
 }
 
 TEST_CASE("an entry of an earlier term is committed only through an entry of the leader's own term")
@@ -265,13 +265,13 @@
     // Visible failure: an acknowledged change is lost.
     // A new leader finds an entry of an earlier term on a quorum. A VM with an entry of a term in between could still be elected and
     // overwrite it. Only a later entry of the leader's own term on a quorum prevents that VM from being elected.
-    auto one = OneCore({entry(2, 2)}, 2);
-    one.lead(milliseconds(700));
-    one.sync(milliseconds(700));
-    one.run(milliseconds(710), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(2), ElectionTerm()}});
-    CHECK(one.core.commitIndex() == LogIndex(0));
-    one.run(milliseconds(720), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(3), ElectionTerm()}});
-    CHECK(one.core.commitIndex() == LogIndex(3));
+    auto fixture = CoreFixture({entry(2, 2)}, 2);
+    fixture.winElection(milliseconds(700));
+    fixture.sync(milliseconds(700));
+    fixture.handle(milliseconds(710), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(2), ElectionTerm()}});
+    CHECK(fixture.core.commitIndex() == LogIndex(0));
+    fixture.handle(milliseconds(720), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(3), ElectionTerm()}});
+    CHECK(fixture.core.commitIndex() == LogIndex(3));
 }
 
 TEST_CASE("an acknowledgement that waits for a disk sync is dropped when the term changes")
@@ -279,11 +279,11 @@
     // Visible failure: an acknowledged change is lost.
     // A follower writes an entry; before the sync it votes for another leader, which is elected and may truncate the entry.
     // The acknowledgement for the former leader could then count for an entry that the follower no longer holds.
-    auto one = OneCore();
+    auto fixture = CoreFixture();
     const auto append = AppendRequest{ElectionTerm(2), LogIndex(1), ElectionTerm(1), {entry(2, 2)}, LogIndex()};
-    one.run(milliseconds(100), Received{second, append});
-    one.run(milliseconds(500), Received{third, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}});
-    CHECK(sent<AppendReply>(one.sync(milliseconds(510))).empty());
+    fixture.handle(milliseconds(100), Received{second, append});
+    fixture.handle(milliseconds(500), Received{third, Heartbeat{ElectionTerm(3), Round(1), LogIndex()}});
+    CHECK(sentMessages<AppendReply>(fixture.sync(milliseconds(510))).empty());
 }
 
 TEST_CASE("a leader without answers from a quorum steps down and fails its pending requests")
@@ -291,27 +291,27 @@
     // Visible failure: a request hangs until its own timeout.
     // A partition separates the leader from the other voters, but not from a proxy.
     // The leader steps down within the maximum election timeout, and the proxy fails over to another VM.
-    auto one = OneCore();
-    one.lead(milliseconds(700));
-    one.sync(milliseconds(700));
-    CHECK(count<Failed>(one.run(milliseconds(710), Proposed{RequestNumber(1), Bytes{std::byte(1)}})) == 0);
-    CHECK(count<Failed>(one.run(milliseconds(1300), Timer())) == 0);
-    CHECK(count<Failed>(one.run(milliseconds(1301), Timer())) == 1);
-    CHECK(one.core.role() == CoreRole::Follower);
+    auto fixture = CoreFixture();
+    fixture.winElection(milliseconds(700));
+    fixture.sync(milliseconds(700));
+    CHECK(countActions<Failed>(fixture.handle(milliseconds(710), Proposed{RequestNumber(1), Bytes{std::byte(1)}})) == 0);
+    CHECK(countActions<Failed>(fixture.handle(milliseconds(1300), Timer())) == 0);
+    CHECK(countActions<Failed>(fixture.handle(milliseconds(1301), Timer())) == 1);
+    CHECK(fixture.core.role() == CoreRole::Follower);
 }
 
 TEST_CASE("a replica whose disk failed acknowledges nothing, grants no vote and does not stand for election")
 {
     // Visible failure: an acknowledged change is lost after a restart.
     // A sync fails; the entries that it covered may be lost although a later sync succeeds.
-    auto one = OneCore();
-    one.run(milliseconds(100), Received{second, AppendRequest{ElectionTerm(2), LogIndex(1), ElectionTerm(1), {entry(2, 2)}, LogIndex()}});
-    one.run(milliseconds(110), DiskFailed());
-    CHECK(one.sync(milliseconds(120)).empty());
-    CHECK_FALSE(grants(one.run(milliseconds(800), Received{third, preRequest})));
-    CHECK(one.run(milliseconds(2000), Timer()).empty());
-    const auto failed = one.run(milliseconds(2100), Proposed{RequestNumber(1), Bytes{std::byte(1)}});
-    REQUIRE(count<Failed>(failed) == 1);
+    auto fixture = CoreFixture();
+    fixture.handle(milliseconds(100), Received{second, AppendRequest{ElectionTerm(2), LogIndex(1), ElectionTerm(1), {entry(2, 2)}, LogIndex()}});
+    fixture.handle(milliseconds(110), DiskFailed());
+    CHECK(fixture.sync(milliseconds(120)).empty());
+    CHECK_FALSE(grantsVote(fixture.handle(milliseconds(800), Received{third, preVoteRequest})));
+    CHECK(fixture.handle(milliseconds(2000), Timer()).empty());
+    const auto failed = fixture.handle(milliseconds(2100), Proposed{RequestNumber(1), Bytes{std::byte(1)}});
+    REQUIRE(countActions<Failed>(failed) == 1);
     CHECK(std::get<Failed>(failed.front()).failure == ProposalFailure::StorageFailed);
 }
 
@@ -320,40 +320,40 @@
     // Visible failure: a configuration that nobody wrote.
     // The leader fails while it sends a snapshot; its successor has one of the same index with another encoding, and starts at a later offset.
     // The follower requests the whole snapshot from the successor.
-    auto one = OneCore();
+    auto fixture = CoreFixture();
     const auto part = Bytes(40, std::byte(1));
-    const auto chunk = [&one, &part](std::uint64_t term, std::uint64_t offset, bool last) {
-        const auto message = SnapshotChunk{ElectionTerm(term), LogIndex(9), ElectionTerm(2), one.core.members(), offset, part, last};
-        return one.run(milliseconds(100), Received{second, message});
+    const auto chunk = [&fixture, &part](std::uint64_t term, std::uint64_t offset, bool last) {
+        const auto message = SnapshotChunk{ElectionTerm(term), LogIndex(9), ElectionTerm(2), fixture.core.members(), offset, part, last};
+        return fixture.handle(milliseconds(100), Received{second, message});
     };
-    CHECK(sent<SnapshotReply>(chunk(2, 0, false)).at(0).offset == 40);
+    CHECK(sentMessages<SnapshotReply>(chunk(2, 0, false)).at(0).offset == 40);
     const auto actions = chunk(3, 40, true);
-    CHECK(count<Restore>(actions) == 0);
-    CHECK(sent<SnapshotReply>(actions).at(0).offset == 0);
+    CHECK(countActions<Restore>(actions) == 0);
+    CHECK(sentMessages<SnapshotReply>(actions).at(0).offset == 0);
 }
 
 TEST_CASE("a learner is promoted only after it has caught up, and only one membership change is in progress at a time")
 {
     // Visible failure: the control group loses its quorum when one more VM is lost right after a repair.
     // An empty learner that is promoted raises the quorum size without holding any entry.
-    auto one = OneCore();
+    auto fixture = CoreFixture();
     // The initial configuration entry is known to be committed, so the first change is only rejected for want of a committed entry of the own term.
-    one.run(milliseconds(50), Received{second, Heartbeat{ElectionTerm(2), Round(1), LogIndex(1)}});
-    one.lead(milliseconds(700));
-    auto members = one.core.members().members;
+    fixture.handle(milliseconds(50), Received{second, Heartbeat{ElectionTerm(2), Round(1), LogIndex(1)}});
+    fixture.winElection(milliseconds(700));
+    auto members = fixture.core.members().members;
     members.push_back(ControlMember{VmId("4"), Endpoint(), false, ReplicaId(4)});
-    const auto early = one.run(milliseconds(705), MembersProposed{RequestNumber(1), members});
-    CHECK(count<Failed>(early) == 1);
-    one.sync(milliseconds(706));
-    one.run(milliseconds(710), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(2), ElectionTerm()}});
-    CHECK(count<Failed>(one.run(milliseconds(720), MembersProposed{RequestNumber(2), members})) == 0);
+    const auto early = fixture.handle(milliseconds(705), MembersProposed{RequestNumber(1), members});
+    CHECK(countActions<Failed>(early) == 1);
+    fixture.sync(milliseconds(706));
+    fixture.handle(milliseconds(710), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(2), ElectionTerm()}});
+    CHECK(countActions<Failed>(fixture.handle(milliseconds(720), MembersProposed{RequestNumber(2), members})) == 0);
     members.back().voter = true;
-    CHECK(count<Failed>(one.run(milliseconds(725), MembersProposed{RequestNumber(3), members})) == 1);
-    one.sync(milliseconds(726));
-    one.run(milliseconds(730), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(3), ElectionTerm()}});
-    CHECK(count<Failed>(one.run(milliseconds(740), MembersProposed{RequestNumber(4), members})) == 1);
-    one.run(milliseconds(750), Received{ReplicaId(4), AppendReply{ElectionTerm(3), true, LogIndex(3), ElectionTerm()}});
-    CHECK(count<Failed>(one.run(milliseconds(760), MembersProposed{RequestNumber(5), members})) == 0);
+    CHECK(countActions<Failed>(fixture.handle(milliseconds(725), MembersProposed{RequestNumber(3), members})) == 1);
+    fixture.sync(milliseconds(726));
+    fixture.handle(milliseconds(730), Received{second, AppendReply{ElectionTerm(3), true, LogIndex(3), ElectionTerm()}});
+    CHECK(countActions<Failed>(fixture.handle(milliseconds(740), MembersProposed{RequestNumber(4), members})) == 1);
+    fixture.handle(milliseconds(750), Received{ReplicaId(4), AppendReply{ElectionTerm(3), true, LogIndex(3), ElectionTerm()}});
+    CHECK(countActions<Failed>(fixture.handle(milliseconds(760), MembersProposed{RequestNumber(5), members})) == 0);
 }
 
 } // namespace sapphirespool::consensus
--- a/unittests/Consensus/fakegroup.cpp
+++ b/unittests/Consensus/fakegroup.cpp
@@ -12,7 +12,7 @@
 {
 
 /// Keeps few log entries and limits messages to a few bytes, so that short schedules transfer snapshots in several chunks.
-auto smallSettings(std::size_t size) -> CoreSettings
+auto testSettings(std::size_t size) -> CoreSettings
 {
     auto settings = CoreSettings();
     settings.entriesKept = 3;
@@ -23,10 +23,10 @@
     return settings;
 }
 
-auto require(bool holds, const std::string &promise) -> void
+auto require(bool holds, const std::string &invariant) -> void
 {
     if (!holds) {
-        throw std::runtime_error("invariant violated: " + promise);
+        throw std::runtime_error("invariant violated: " + invariant);
     }
 }
 
@@ -61,7 +61,7 @@
 } // namespace
 
 FakeGroup::FakeGroup(std::size_t size, std::uint64_t seed)
-    : settings(smallSettings(size))
+    : settings(testSettings(size))
     , random(seed)
 {
     // Within the drift bound of 10 % between any two.
@@ -69,11 +69,11 @@
     for (auto index = std::size_t(0); index < size; ++index) {
         auto vm = FakeVm();
         vm.vm = VmId("vm" + std::to_string(index));
-        vm.replica = ReplicaId(this->nextReplica++);
+        vm.replica = ReplicaId(this->nextReplicaId++);
         vm.clockRate = rates(this->random);
         this->vms.push_back(std::move(vm));
     }
-    const auto first = this->founding();
+    const auto first = this->initialConfigurationEntry();
     for (auto &vm : this->vms) {
         vm.synced.hard.term = ElectionTerm(1);
         vm.synced.entries.push_back(first);
@@ -81,7 +81,7 @@
     }
 }
 
-auto FakeGroup::founding() const -> Entry
+auto FakeGroup::initialConfigurationEntry() const -> Entry
 {
     auto group = Members{{}, true};
     for (const auto &vm : this->vms) {
@@ -162,7 +162,7 @@
 auto FakeGroup::perform(FakeVm &vm, Action action) -> void
 {
     if (const auto *const send = std::get_if<Send>(&action)) {
-        this->network.push_back(InFlight{vm.replica, send->to, send->message});
+        this->network.push_back(InFlightMessage{vm.replica, send->to, send->message});
     } else if (const auto *const applied = std::get_if<Apply>(&action)) {
         this->apply(vm, *applied);
     } else if (const auto *const restored = std::get_if<Restore>(&action)) {
@@ -301,7 +301,7 @@
 
 auto FakeGroup::propose(std::size_t index, std::uint8_t value) -> void
 {
-    this->handle(this->vm(index), Proposed{RequestNumber(this->nextNumber++), Bytes{static_cast<std::byte>(value)}});
+    this->handle(this->vm(index), Proposed{RequestNumber(this->nextRequestNumber++), Bytes{static_cast<std::byte>(value)}});
 }
 
 auto FakeGroup::read(std::size_t index) -> void
@@ -309,19 +309,19 @@
     if (this->vm(index).core == nullptr) {
         return;
     }
-    const auto number = RequestNumber(this->nextNumber++);
+    const auto number = RequestNumber(this->nextRequestNumber++);
     const auto newest = this->committed.empty() ? LogIndex() : this->committed.rbegin()->first;
     this->reads[number] = PendingRead{index % this->vms.size(), newest};
     this->handle(this->vm(index), ReadRequested{number});
 }
 
-auto FakeGroup::crash(std::size_t index, std::size_t kept) -> void
+auto FakeGroup::crash(std::size_t index, std::size_t writesKept) -> void
 {
     auto &vm = this->vm(index);
     if (vm.core == nullptr) {
         return;
     }
-    const auto reached = std::min(kept, vm.unsynced.size());
+    const auto reached = std::min(writesKept, vm.unsynced.size());
     for (auto at = std::size_t(0); at < reached; ++at) {
         this->write(vm, vm.unsynced[at]);
     }
@@ -348,12 +348,12 @@
     }
 }
 
-auto FakeGroup::loseSeveral(std::size_t pick) -> void
+auto FakeGroup::failPower(std::size_t pick) -> void
 {
     const auto count = this->vms.size();
-    const auto spared = pick % (count + 1);
+    const auto survivor = pick % (count + 1);
     for (auto index = std::size_t(0); index < count; ++index) {
-        if (index != spared) {
+        if (index != survivor) {
             this->crash(index, (pick / 8 + index) % 4);
         }
     }
@@ -374,7 +374,7 @@
 
 auto FakeGroup::survivesLossOf(const FakeVm &vm) const -> bool
 {
-    auto gone = this->lost;
+    auto gone = this->lostReplicas;
     gone.insert(vm.replica);
     const auto survives = [&gone](const Members &group) {
         const auto voters = std::count_if(group.members.begin(), group.members.end(), [](const ControlMember &member) {
@@ -400,8 +400,8 @@
         return;
     }
     this->crash(index, 0);
-    this->lost.insert(vm.replica);
-    vm.replica = ReplicaId(this->nextReplica++);
+    this->lostReplicas.insert(vm.replica);
+    vm.replica = ReplicaId(this->nextReplicaId++);
     vm.synced = FakeDisk();
     this->start(vm);
 }
@@ -427,7 +427,7 @@
             return vm.core->caughtUp(replica);
         });
         if (change) {
-            this->handle(vm, MembersProposed{RequestNumber(this->nextNumber++), *change});
+            this->handle(vm, MembersProposed{RequestNumber(this->nextRequestNumber++), *change});
         }
     }
 }
@@ -441,7 +441,7 @@
     this->handle(vm, SnapshotTaken{vm.appliedIndex, encodeState(vm.applied)});
 }
 
-auto FakeGroup::runCalmly(std::chrono::milliseconds span) -> void
+auto FakeGroup::runWithoutFaults(std::chrono::milliseconds span) -> void
 {
     constexpr auto step = std::chrono::milliseconds(10);
     for (auto passed = std::chrono::milliseconds(0); passed < span; passed += step) {
@@ -456,7 +456,7 @@
     }
 }
 
-auto FakeGroup::settle() -> void
+auto FakeGroup::healAndCheck() -> void
 {
     for (auto index = std::size_t(0); index < this->vms.size(); ++index) {
         this->heal(index);
@@ -464,14 +464,14 @@
     }
     constexpr auto rounds = 30;
     for (auto round = 0; round < rounds; ++round) {
-        this->runCalmly(std::chrono::milliseconds(200));
+        this->runWithoutFaults(std::chrono::milliseconds(200));
         this->repair();
     }
     const auto leader = this->leaderIndex();
     require(leader.has_value(), "a healed group has a leader");
     this->propose(*leader, 0xff);
     this->read(*leader);
-    this->runCalmly(std::chrono::milliseconds(1000));
+    this->runWithoutFaults(std::chrono::milliseconds(1000));
     for (const auto &vm : this->vms) {
         require(vm.appliedIndex == this->committed.rbegin()->first, "all VMs of a healed group apply all committed entries");
         require(isVoterIn(vm.core->members(), vm.replica), "all VMs of a healed group are voters");
@@ -483,7 +483,7 @@
 
 auto FakeGroup::checkLeaders() -> void
 {
-    const FakeVm *holder = nullptr;
+    const FakeVm *leaseHolder = nullptr;
     for (const auto &vm : this->vms) {
         if (vm.core == nullptr || vm.core->role() != CoreRole::Leader) {
             continue;
@@ -491,13 +491,13 @@
         const auto [known, added] = this->leaders.emplace(vm.core->term(), vm.replica);
         require(added || known->second == vm.replica, "at most one leader per term");
         if (vm.core->holdsLeaderLease(this->localTime(vm))) {
-            require(holder == nullptr, "at most one VM holds the leader lease");
-            holder = &vm;
+            require(leaseHolder == nullptr, "at most one VM holds the leader lease");
+            leaseHolder = &vm;
         }
     }
     for (const auto &vm : this->vms) {
         const auto leads = vm.core != nullptr && vm.core->role() == CoreRole::Leader;
-        require(holder == nullptr || !leads || vm.core->term() <= holder->core->term(), "no VM is elected while another one holds the leader lease");
+        require(leaseHolder == nullptr || !leads || vm.core->term() <= leaseHolder->core->term(), "no VM is elected while another one holds the leader lease");
     }
 }
 
--- a/unittests/Consensus/fakegroup.h
+++ b/unittests/Consensus/fakegroup.h
@@ -54,11 +54,11 @@
     auto syncDisk(std::size_t vm) -> void;
     auto propose(std::size_t vm, std::uint8_t value) -> void;
     auto read(std::size_t vm) -> void;
-    /// Ends the process. The first \p kept unsynced writes reach the disk; the others are lost.
-    auto crash(std::size_t vm, std::size_t kept) -> void;
+    /// Ends the process. The first \p writesKept unsynced writes reach the disk; the others are lost.
+    auto crash(std::size_t vm, std::size_t writesKept) -> void;
     auto restart(std::size_t vm) -> void;
     /// Simulates a power failure: crashes all VMs, or all but one, and restarts them in an order derived from \p pick.
-    auto loseSeveral(std::size_t pick) -> void;
+    auto failPower(std::size_t pick) -> void;
     auto isolate(std::size_t vm) -> void;
     auto heal(std::size_t vm) -> void;
     /// Crashes the VM and restarts it with an empty disk and a new replica ID, unless the group would lose its quorum.
@@ -68,7 +68,7 @@
     auto takeSnapshot(std::size_t vm) -> void;
 
     /// Reconnects and restarts all VMs, advances the time, and requires that one leader commits on all VMs and that all are voters again.
-    auto settle() -> void;
+    auto healAndCheck() -> void;
 
     [[nodiscard]] auto size() const -> std::size_t;
     [[nodiscard]] auto vm(std::size_t index) -> FakeVm &;
@@ -78,10 +78,10 @@
     /// Passes an event to a VM's core and performs the resulting actions.
     auto handle(FakeVm &vm, const CoreEvent &event) -> void;
     /// Runs without faults: delivers messages in order and syncs all disks, in small time steps.
-    auto runCalmly(std::chrono::milliseconds time) -> void;
+    auto runWithoutFaults(std::chrono::milliseconds time) -> void;
 
 private:
-    struct InFlight
+    struct InFlightMessage
     {
         ReplicaId from;
         ReplicaId to;
@@ -100,7 +100,7 @@
     auto write(FakeVm &vm, const Action &action) -> void;
     auto fireTimers() -> void;
     auto start(FakeVm &vm) -> void;
-    auto founding() const -> Entry;
+    auto initialConfigurationEntry() const -> Entry;
     auto find(ReplicaId replica) -> FakeVm *;
     auto survivesLossOf(const FakeVm &vm) const -> bool;
     auto checkLeaders() -> void;
@@ -111,10 +111,10 @@
     std::mt19937_64 random;
     std::chrono::nanoseconds time{0};
     std::vector<FakeVm> vms;
-    std::deque<InFlight> network;
-    std::set<ReplicaId> lost;
-    std::uint64_t nextReplica = 1;
-    std::uint64_t nextNumber = 1;
+    std::deque<InFlightMessage> network;
+    std::set<ReplicaId> lostReplicas;
+    std::uint64_t nextReplicaId = 1;
+    std::uint64_t nextRequestNumber = 1;
     std::map<RequestNumber, PendingRead> reads;
     std::map<ElectionTerm, ReplicaId> leaders;
     /// Each committed entry as the first VM applied it.
--- a/unittests/Consensus/joiningtest.cpp
+++ b/unittests/Consensus/joiningtest.cpp
@@ -10,12 +10,12 @@
 namespace
 {
 
-auto memberOf(std::uint64_t replica, bool voter) -> ControlMember
+auto makeMember(std::uint64_t replica, bool voter) -> ControlMember
 {
     return {VmId("vm-" + std::to_string(replica)), {}, voter, ReplicaId(replica)};
 }
 
-auto always(ReplicaId) -> bool
+auto alwaysCaughtUp(ReplicaId) -> bool
 {
     return true;
 }
@@ -26,28 +26,28 @@
 {
     // A control VM is replaced by one at another address. If the lost VM remained a voter, it would still count towards the quorum size, and
     // the group would lose its quorum with the next lost VM.
-    auto group = Members{{memberOf(1, true), memberOf(2, true), memberOf(3, true), memberOf(4, false)}, true};
+    auto group = Members{{makeMember(1, true), makeMember(2, true), makeMember(3, true), makeMember(4, false)}, true};
     auto rules = RepairRules();
     rules.voters = 3;
     rules.lost = [](ReplicaId) {
         return false;
     };
-    CHECK_FALSE(nextMemberChange(group, {}, always, rules));
+    CHECK_FALSE(nextMemberChange(group, {}, alwaysCaughtUp, rules));
     rules.lost = [](ReplicaId replica) {
         return replica == ReplicaId(2);
     };
-    const auto without = nextMemberChange(group, {}, always, rules);
-    REQUIRE(without);
-    CHECK(without->size() == 3);
-    group.members = *without;
-    const auto promoted = nextMemberChange(group, {}, always, rules);
+    const auto withoutLostVoter = nextMemberChange(group, {}, alwaysCaughtUp, rules);
+    REQUIRE(withoutLostVoter);
+    CHECK(withoutLostVoter->size() == 3);
+    group.members = *withoutLostVoter;
+    const auto promoted = nextMemberChange(group, {}, alwaysCaughtUp, rules);
     REQUIRE(promoted);
     CHECK(promoted->back().voter);
 }
 
 TEST_CASE("a lost learner is removed, and join requests beyond the group size wait")
 {
-    const auto group = Members{{memberOf(1, true), memberOf(2, false)}, true};
+    const auto group = Members{{makeMember(1, true), makeMember(2, false)}, true};
     auto rules = RepairRules();
     rules.lost = [](ReplicaId replica) {
         return replica == ReplicaId(2);
@@ -69,9 +69,9 @@
     // All control VMs but one lost their disks, and that one is down. The others have no log; founding a new group would lose all
     // acknowledged changes.
     const auto members = std::vector{ControlMember{VmId("a"), {}, true, {}}, ControlMember{VmId("b"), {}, true, {}}};
-    auto later = Formation(VmId("a"), members, false, true);
-    later.noteAnswer(VmId("b"), true);
-    CHECK_FALSE(later.shouldFound());
+    auto withoutFounding = Formation(VmId("a"), members, false, true);
+    withoutFounding.noteAnswer(VmId("b"), true);
+    CHECK_FALSE(withoutFounding.shouldFound());
     auto first = Formation(VmId("a"), members, true, true);
     first.noteAnswer(VmId("b"), true);
     CHECK(first.shouldFound());
--- a/unittests/Consensus/replicatest.cpp
+++ b/unittests/Consensus/replicatest.cpp
@@ -21,7 +21,7 @@
 {
 
 /// A state machine that records all commands in the order of the log.
-class CommandList : public StateMachine
+class RecordingStateMachine : public StateMachine
 {
 public:
     auto apply(LogIndex, std::span<const std::byte> command) -> Bytes override
@@ -50,17 +50,17 @@
     Endpoint endpoint;
     std::filesystem::path folder;
     kj::Own<kj::ConnectionReceiver> listener;
-    CommandList machine;
+    RecordingStateMachine machine;
     std::unique_ptr<Replica> replica;
     std::unique_ptr<capnp::TwoPartyServer> server;
     kj::Maybe<kj::Promise<void>> listening;
 };
 
 /// Three control VMs on one event loop, with real sockets and disks.
-class ThreeVms
+class ThreeVmFixture
 {
 public:
-    ThreeVms()
+    ThreeVmFixture()
         : io(kj::setupAsyncIo())
         , context{io.provider->getNetwork(), io.provider->getTimer(), *io.lowLevelProvider}
         , root(std::filesystem::temp_directory_path() / ("sapphirespool-replica-" + std::to_string(::getpid())))
@@ -76,7 +76,7 @@
         }
     }
 
-    ~ThreeVms()
+    ~ThreeVmFixture()
     {
         for (auto &vm : this->vms) {
             this->stop(vm);
@@ -111,10 +111,10 @@
         vm.replica.reset();
     }
 
-    /// Runs the event loop until \p reached returns true.
-    auto runUntil(const std::function<bool()> &reached) -> void
+    /// Runs the event loop until \p condition returns true.
+    auto runUntil(const std::function<bool()> &condition) -> void
     {
-        while (!reached()) {
+        while (!condition()) {
             this->context.timer.afterDelay(1 * kj::MILLISECONDS).wait(this->io.waitScope);
         }
     }
@@ -131,11 +131,11 @@
 
     [[nodiscard]] auto voters() -> std::size_t
     {
-        const auto *const leading = this->leader();
-        if (leading == nullptr) {
+        const auto *const currentLeader = this->leader();
+        if (currentLeader == nullptr) {
             return 0;
         }
-        const auto members = leading->replica->members();
+        const auto members = currentLeader->replica->members();
         return static_cast<std::size_t>(std::count_if(members.begin(), members.end(), [](const ControlMember &member) {
             return member.voter;
         }));
@@ -150,8 +150,8 @@
                 return this->leader() != nullptr;
             });
             auto outcome = std::optional<ProposalOutcome>();
-            this->leader()->replica->propose(Bytes{static_cast<std::byte>(value)}, [&outcome](ProposalOutcome given) {
-                outcome = std::move(given);
+            this->leader()->replica->propose(Bytes{static_cast<std::byte>(value)}, [&outcome](ProposalOutcome result) {
+                outcome = std::move(result);
             });
             this->runUntil([&outcome] {
                 return outcome.has_value();
@@ -174,7 +174,7 @@
     // Visible failure: an acknowledged change is lost after a restart of all VMs, or the group stays one voter short.
     // Three empty VMs found a group and commit; all stop and restart; then one loses its disk and rejoins, and another one stops.
     // Log entries are synced before they are acknowledged, and an empty VM joins as a learner before it becomes a voter.
-    auto group = ThreeVms();
+    auto group = ThreeVmFixture();
     for (auto &vm : group.vms) {
         group.start(vm);
     }
@@ -195,11 +195,11 @@
     std::filesystem::remove_all(lost.folder);
     group.start(lost);
     group.runUntil([&group, &lost] {
-        const auto *const leading = group.leader();
-        if (leading == nullptr || group.voters() != 3) {
+        const auto *const currentLeader = group.leader();
+        if (currentLeader == nullptr || group.voters() != 3) {
             return false;
         }
-        const auto members = leading->replica->members();
+        const auto members = currentLeader->replica->members();
         const auto known = lost.replica->members();
         return members.size() == 3 && known == members && lost.machine.commands.size() >= 2;
     });
