--- a/include/sapphirespool/Consensus/core.h
+++ b/include/sapphirespool/Consensus/core.h
@@ -42,12 +42,12 @@
     [[nodiscard]] auto role() const -> CoreRole;
     [[nodiscard]] auto term() const -> ElectionTerm;
     /// \return the time since this leader last received a reply from \p replica; only meaningful on the leader
-    [[nodiscard]] auto silence(ReplicaId replica) const -> Duration;
+    [[nodiscard]] auto timeSinceContact(ReplicaId replica) const -> Duration;
     [[nodiscard]] auto leader() const -> std::optional<ReplicaId>;
     /// \return the time of the last contact with a leader, or the start time of this process
-    [[nodiscard]] auto leaderHeardAt() const -> TimePoint;
+    [[nodiscard]] auto lastLeaderContactTime() const -> TimePoint;
     /// \return the time of the last contact with a quorum, this replica included; only meaningful on the leader
-    [[nodiscard]] auto quorumHeardAt() const -> TimePoint;
+    [[nodiscard]] auto lastQuorumContactTime() const -> TimePoint;
     [[nodiscard]] auto commitIndex() const -> LogIndex;
     [[nodiscard]] auto log() const -> const LogWindow &;
     [[nodiscard]] auto members() const -> const Members &;
@@ -92,15 +92,15 @@
     auto onVoteReply(ReplicaId from, const VoteReply &reply) -> void;
     auto campaign(bool preVote) -> void;
     auto countVotes() -> void;
-    auto askForVotes() -> void;
-    auto askForVote(ReplicaId voter) -> void;
+    auto requestVotes() -> void;
+    auto requestVote(ReplicaId voter) -> void;
     auto onReached(ReplicaId replica) -> void;
     auto onEnded(ReplicaId replica) -> void;
     [[nodiscard]] auto keepsVoteFrom(ReplicaId candidate, ElectionTerm asked) const -> bool;
     auto noteLeader(ReplicaId leader) -> void;
     auto becomeLeader() -> void;
     auto becomeFollower(ElectionTerm term, std::optional<ReplicaId> leader) -> void;
-    auto heardLeaderLately() const -> bool;
+    auto hasRecentLeaderContact() const -> bool;
     auto logCovers(const VoteRequest &request) const -> bool;
     auto resetElectionDeadline() -> void;
     auto followLeader(ReplicaId from, ElectionTerm term) -> bool;
@@ -123,7 +123,7 @@
     auto onAppendReply(ReplicaId from, const AppendReply &reply) -> void;
     [[nodiscard]] auto nextAfterRefusal(const AppendReply &reply) const -> LogIndex;
     auto refuseAppend(ReplicaId from, const AppendRequest &request) -> void;
-    auto takeEntries(const AppendRequest &request) -> void;
+    auto appendReceivedEntries(const AppendRequest &request) -> void;
     auto noteWritten(PersistToken token) -> void;
     auto forgetWritten(LogIndex kept) -> void;
     auto commitByQuorum() -> void;
@@ -173,9 +173,9 @@
 
     CoreRole currentRole = CoreRole::Follower;
     std::optional<ReplicaId> knownLeader;
-    TimePoint heardLeader;
+    TimePoint leaderContactTime;
     TimePoint electionDeadline;
-    TimePoint nextAsk;
+    TimePoint nextVoteRequestTime;
     std::map<ReplicaId, bool> votes;
 
     PersistToken lastToken;
--- a/include/sapphirespool/Consensus/progress.h
+++ b/include/sapphirespool/Consensus/progress.h
@@ -23,9 +23,9 @@
     std::size_t inFlight = 0;
     /// Start of the resend timeout: the time of the replica's last progress, of the first message after an idle phase, or of the last
     /// resend or snapshot chunk.
-    TimePoint movedAt{};
+    TimePoint resendTimerStart{};
     /// Time of its last reply in this term.
-    TimePoint heardAt{};
+    TimePoint lastContactTime{};
     /// Last heartbeat round that it acknowledged.
     Round round;
     /// Snapshot being sent to it; retained until the transfer ends, even if a newer one is taken.
--- a/include/sapphirespool/Consensus/replicatedlog.h
+++ b/include/sapphirespool/Consensus/replicatedlog.h
@@ -74,7 +74,7 @@
     [[nodiscard]] virtual auto leadershipNumber() const -> std::uint64_t = 0;
 
     /// \return the time since this leader's last contact with the control VM \p vm; the longest time if it is not in the group
-    [[nodiscard]] virtual auto silence(const VmId &vm) const -> Duration = 0;
+    [[nodiscard]] virtual auto timeSinceContact(const VmId &vm) const -> Duration = 0;
 
     /// \return the VM that this replica believes to be the leader
     [[nodiscard]] virtual auto leader() const -> std::optional<VmId> = 0;
--- a/lib/Consensus/core.cpp
+++ b/lib/Consensus/core.cpp
@@ -33,7 +33,7 @@
     , random(seed)
     , now(now)
     , hard(recovered.hard)
-    , heardLeader(now)
+    , leaderContactTime(now)
     , snapshot(std::move(recovered.snapshot))
 {
     if (this->snapshot != nullptr) {
@@ -50,7 +50,7 @@
     this->resetElectionDeadline();
     if (this->hard.leader == self) {
         // This replica's own lease ended with its process, and it acknowledged no other leader's: it need not wait before an election.
-        this->heardLeader = now - this->settings.minimumElectionTimeout;
+        this->leaderContactTime = now - this->settings.minimumElectionTimeout;
         this->electionDeadline = now;
     }
 }
@@ -68,7 +68,7 @@
     case CoreRole::Leader:
         return this->nextHeartbeat;
     case CoreRole::PreCandidate:
-        return std::min(this->nextAsk, this->electionDeadline);
+        return std::min(this->nextVoteRequestTime, this->electionDeadline);
     case CoreRole::Follower:
     case CoreRole::Candidate:
         return this->electionDeadline;
@@ -91,9 +91,9 @@
     return this->knownLeader;
 }
 
-auto Core::leaderHeardAt() const -> TimePoint
+auto Core::lastLeaderContactTime() const -> TimePoint
 {
-    return this->heardLeader;
+    return this->leaderContactTime;
 }
 
 auto Core::commitIndex() const -> LogIndex
@@ -188,14 +188,14 @@
     if (this->currentRole != CoreRole::Leader) {
         if (this->now >= this->electionDeadline) {
             this->campaign(true);
-        } else if (this->currentRole == CoreRole::PreCandidate && this->now >= this->nextAsk) {
-            this->askForVotes();
+        } else if (this->currentRole == CoreRole::PreCandidate && this->now >= this->nextVoteRequestTime) {
+            this->requestVotes();
         }
         return;
     }
     // A partitioned leader would keep its callers waiting for commits that cannot happen. Without contact to a quorum it steps
     // down, so that callers receive NotLeader immediately.
-    if (this->quorumHeardAt() < this->now - this->settings.maximumElectionTimeout) {
+    if (this->lastQuorumContactTime() < this->now - this->settings.maximumElectionTimeout) {
         this->becomeFollower(this->hard.term, std::nullopt);
         return;
     }
--- a/lib/Consensus/election.cpp
+++ b/lib/Consensus/election.cpp
@@ -19,7 +19,7 @@
     this->electionDeadline = this->now + this->electionTimeout();
 }
 
-auto Core::heardLeaderLately() const -> bool
+auto Core::hasRecentLeaderContact() const -> bool
 {
     // The leader's lease relies on a quorum that grants no other vote before the minimum election timeout. A voter that granted one
     // earlier would allow a second leader while the first still answers, and a caller could read from the old leader or get an
@@ -27,7 +27,7 @@
     if (this->currentRole == CoreRole::Leader) {
         return true;
     }
-    return this->now - this->heardLeader < this->settings.minimumElectionTimeout;
+    return this->now - this->leaderContactTime < this->settings.minimumElectionTimeout;
 }
 
 auto Core::keepsVoteFrom(ReplicaId candidate, ElectionTerm asked) const -> bool
@@ -36,7 +36,7 @@
     // only lease that this replica may have extended has ended. Otherwise, after a restart of all VMs, the voters would wait for the
     // expiry of a lease whose holder is the candidate itself.
     const auto isFormerLeader = this->hard.leader == candidate && asked > this->hard.term && this->currentRole != CoreRole::Leader;
-    return !isFormerLeader && this->heardLeaderLately();
+    return !isFormerLeader && this->hasRecentLeaderContact();
 }
 
 auto Core::noteLeader(ReplicaId leader) -> void
@@ -135,28 +135,28 @@
     if (preVote) {
         this->currentRole = CoreRole::PreCandidate;
         this->votes[this->self] = true;
-        this->askForVotes();
+        this->requestVotes();
         this->countVotes();
         return;
     }
     this->currentRole = CoreRole::Candidate;
     this->hard = HardState{this->hard.term.next(), this->self, ReplicaId()};
     this->persistHardState();
-    this->askForVotes();
+    this->requestVotes();
     this->sendWhenSynced(this->self, VoteReply{this->hard.term, false, true});
 }
 
-auto Core::askForVotes() -> void
+auto Core::requestVotes() -> void
 {
-    this->nextAsk = this->now + this->settings.heartbeatInterval;
+    this->nextVoteRequestTime = this->now + this->settings.heartbeatInterval;
     for (const auto &member : this->group.members) {
         if (member.voter && !this->votes.contains(member.replica) && member.replica != this->self) {
-            this->askForVote(member.replica);
+            this->requestVote(member.replica);
         }
     }
 }
 
-auto Core::askForVote(ReplicaId voter) -> void
+auto Core::requestVote(ReplicaId voter) -> void
 {
     if (this->currentRole == CoreRole::PreCandidate) {
         this->send(voter, VoteRequest{this->hard.term.next(), true, this->window.lastIndex(), this->window.lastTerm()});
@@ -171,7 +171,7 @@
     // peer would get one only in the next round: a heartbeat interval later from a pre-candidate, an election timeout later from a candidate.
     const auto campaigning = this->currentRole == CoreRole::PreCandidate || this->currentRole == CoreRole::Candidate;
     if (campaigning && this->isVoter(replica) && !this->votes.contains(replica)) {
-        this->askForVote(replica);
+        this->requestVote(replica);
     }
 }
 
@@ -229,7 +229,7 @@
         this->becomeFollower(term, from);
     }
     this->noteLeader(from);
-    this->heardLeader = this->now;
+    this->leaderContactTime = this->now;
     this->resetElectionDeadline();
     return true;
 }
@@ -243,7 +243,7 @@
     }
     // The lease ended with the leader's process. Other voters are notified at the same time; the random delay keeps them from
     // campaigning at once.
-    this->heardLeader = this->now - this->settings.minimumElectionTimeout;
+    this->leaderContactTime = this->now - this->settings.minimumElectionTimeout;
     auto spread = std::uniform_int_distribution<Duration::rep>(0, this->settings.heartbeatInterval.count());
     this->electionDeadline = std::min(this->electionDeadline, this->now + Duration(spread(this->random)));
 }
--- a/lib/Consensus/formation.cpp
+++ b/lib/Consensus/formation.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-Formation::Formation(VmId self, std::vector<ControlMember> initialMembers, bool mayFound, bool openToOthers)
+GroupFormation::GroupFormation(VmId self, std::vector<ControlMember> initialMembers, bool mayFound, bool openToOthers)
     : self(std::move(self))
     , initialMembers(std::move(initialMembers))
     , mayFound(mayFound)
@@ -30,38 +30,38 @@
 {
 }
 
-auto Formation::noteAnswer(const VmId &vm, bool empty) -> void
+auto GroupFormation::recordAnswer(const VmId &vm, bool empty) -> void
 {
     if (empty) {
-        this->emptyVms.insert(vm);
+        this->vmsWithoutGroup.insert(vm);
     } else {
-        this->emptyVms.erase(vm);
+        this->vmsWithoutGroup.erase(vm);
     }
 }
 
-auto Formation::shouldFound() const -> bool
+auto GroupFormation::shouldFound() const -> bool
 {
     if (!this->mayFound || this->initialMembers.empty() || this->initialMembers.front().vm != this->self) {
         return false;
     }
     return std::all_of(this->initialMembers.begin(), this->initialMembers.end(), [this](const ControlMember &member) {
-        return member.vm == this->self || this->emptyVms.contains(member.vm);
+        return member.vm == this->self || this->vmsWithoutGroup.contains(member.vm);
     });
 }
 
-auto Formation::noteRequest(const JoinRequest &request, const Members &group, TimePoint now) -> void
+auto GroupFormation::recordRequest(const JoinRequest &request, const Members &group, TimePoint now) -> void
 {
     if (this->openToOthers || contains(this->initialMembers, request.vm) || contains(group.members, request.vm)) {
-        this->wanting[request.vm] = DatedRequest{request, now};
+        this->joinRequests[request.vm] = ReceivedRequest{request, now};
     }
 }
 
-auto Formation::requests(TimePoint now) const -> std::vector<JoinRequest>
+auto GroupFormation::requests(TimePoint now) const -> std::vector<JoinRequest>
 {
     auto recent = std::vector<JoinRequest>();
-    for (const auto &[vm, dated] : this->wanting) {
-        if (now - dated.at < joinRequestLifetime) {
-            recent.push_back(dated.request);
+    for (const auto &[vm, received] : this->joinRequests) {
+        if (now - received.at < joinRequestLifetime) {
+            recent.push_back(received.request);
         }
     }
     return recent;
--- a/lib/Consensus/heartbeat.cpp
+++ b/lib/Consensus/heartbeat.cpp
@@ -43,7 +43,7 @@
     if (this->currentRole != CoreRole::Leader || reply.term != this->hard.term || found == this->progress.end()) {
         return;
     }
-    found->second.heardAt = this->now;
+    found->second.lastContactTime = this->now;
     found->second.round = std::max(found->second.round, reply.round);
     this->releaseReads();
     this->replicate(from);
@@ -67,7 +67,7 @@
     return rounds[this->quorum() - 1];
 }
 
-auto Core::quorumHeardAt() const -> TimePoint
+auto Core::lastQuorumContactTime() const -> TimePoint
 {
     auto contactTimes = std::vector<TimePoint>();
     if (this->isVoter(this->self)) {
@@ -75,7 +75,7 @@
     }
     for (const auto &[replica, peer] : this->progress) {
         if (this->isVoter(replica)) {
-            contactTimes.push_back(peer.heardAt);
+            contactTimes.push_back(peer.lastContactTime);
         }
     }
     if (contactTimes.size() < this->quorum()) {
--- a/lib/Consensus/leadreport.cpp
+++ b/lib/Consensus/leadershiplogger.cpp
@@ -1,4 +1,4 @@
-#include "leadreport.h"
+#include "leadershiplogger.h"
 
 #include "sapphirespool/Support/log.h"
 
@@ -13,19 +13,20 @@
     if (before == CoreRole::Leader && core.role() != CoreRole::Leader) {
         this->logLeadershipLost(core, now);
     } else if (before == CoreRole::Follower && core.role() == CoreRole::PreCandidate) {
-        support::log(support::Event::ElectionStarted, {{"term", core.term().next().value()}, {"leader_silent_ms", now - core.leaderHeardAt()}});
+        support::log(support::Event::ElectionStarted, {{"term", core.term().next().value()}, {"leader_silent_ms", now - core.lastLeaderContactTime()}});
     }
     if (core.role() == CoreRole::Leader) {
-        this->quorumHeardAt = core.quorumHeardAt();
+        this->lastQuorumContactTime = core.lastQuorumContactTime();
     }
     this->term = core.term();
 }
 
 auto LeadershipLogger::logLeadershipLost(const Core &core, TimePoint now) const -> void
 {
-    support::log(
-        support::Event::ControlLeadLost,
-        {{"term", this->term.value()}, {"reason", core.term() > this->term ? "later_term" : "stepped_down"}, {"quorum_heard_ms", now - this->quorumHeardAt}});
+    support::log(support::Event::ControlLeadLost,
+                 {{"term", this->term.value()},
+                  {"reason", core.term() > this->term ? "later_term" : "stepped_down"},
+                  {"quorum_heard_ms", now - this->lastQuorumContactTime}});
 }
 
 } // namespace sapphirespool::consensus
--- a/lib/Consensus/leadreport.h
+++ b/lib/Consensus/leadershiplogger.h
@@ -1,4 +1,4 @@
-// leadreport.h: logs why leadership of the control group is lost or an election is started.
+// leadershiplogger.h: logs why leadership of the control group is lost or an election is started.
 #pragma once
 
 #include "sapphirespool/Consensus/core.h"
@@ -22,7 +22,7 @@
     ElectionTerm term;
     /// When this replica, as leader, last had contact with a quorum. Kept here, as the core clears the progress of its peers when it
     /// steps down.
-    TimePoint quorumHeardAt{};
+    TimePoint lastQuorumContactTime{};
 };
 
 } // namespace sapphirespool::consensus
--- a/lib/Consensus/membership.cpp
+++ b/lib/Consensus/membership.cpp
@@ -45,14 +45,14 @@
         return false;
     }
     const auto &peer = found->second;
-    const auto hasRecentContact = this->now - peer.heardAt < this->settings.minimumElectionTimeout;
+    const auto hasRecentContact = this->now - peer.lastContactTime < this->settings.minimumElectionTimeout;
     return hasRecentContact && peer.match >= this->commit && peer.match >= this->termStart;
 }
 
-auto Core::silence(ReplicaId replica) const -> Duration
+auto Core::timeSinceContact(ReplicaId replica) const -> Duration
 {
     const auto found = this->progress.find(replica);
-    return found == this->progress.end() ? Duration(0) : this->now - found->second.heardAt;
+    return found == this->progress.end() ? Duration(0) : this->now - found->second.lastContactTime;
 }
 
 auto Core::isPermittedChange(const Members &next) const -> bool
@@ -143,7 +143,7 @@
         auto peer = Progress();
         // The last entry is sent to a new replica immediately: its rejection reports its last index, even if nothing more is appended.
         peer.next = std::max(this->window.lastIndex(), this->window.baseIndex().next());
-        peer.heardAt = this->now;
+        peer.lastContactTime = this->now;
         this->progress.emplace(member.replica, std::move(peer));
     }
 }
--- a/lib/Consensus/replica.cpp
+++ b/lib/Consensus/replica.cpp
@@ -3,7 +3,7 @@
 #include "codec.h"
 #include "diskthread.h"
 #include "formation.h"
-#include "leadreport.h"
+#include "leadershiplogger.h"
 #include "peerlink.h"
 #include "sapphirespool/Consensus/core.h"
 #include "sapphirespool/Consensus/replicastore.h"
@@ -64,7 +64,7 @@
     auto confirmRead(ReadDone done) -> void override;
     [[nodiscard]] auto leaderLeaseEnd() const -> TimePoint override;
     [[nodiscard]] auto leadershipNumber() const -> std::uint64_t override;
-    [[nodiscard]] auto silence(const VmId &vm) const -> Duration override;
+    [[nodiscard]] auto timeSinceContact(const VmId &vm) const -> Duration override;
     [[nodiscard]] auto leader() const -> std::optional<VmId> override;
     auto addLearner(ControlMember member, ProposalDone done) -> void override;
     auto promoteLearner(VmId vm, ProposalDone done) -> void override;
@@ -109,7 +109,7 @@
     std::unique_ptr<storage::Folder> folder;
     ReplicaId self;
     std::unique_ptr<Core> core;
-    Formation formation;
+    GroupFormation formation;
     /// Members of the group as reported in answers to join requests, while this VM belongs to no group.
     std::vector<ControlMember> reportedMembers;
     std::unique_ptr<DiskThread> disk;
@@ -353,7 +353,7 @@
             continue;
         }
         this->linkTo(member.vm)->join(this->selfMember(), [this, vm = member.vm](JoinAnswer answer) {
-            this->formation.noteAnswer(vm, answer.empty);
+            this->formation.recordAnswer(vm, answer.empty);
             // Only the leader admits VMs, and the settings may not list it.
             if (!answer.members.empty()) {
                 this->reportedMembers = std::move(answer.members);
@@ -369,7 +369,7 @@
     if (this->settings.openToOthers) {
         rules.members = 2 * this->settings.voters;
         rules.lost = [this](ReplicaId replica) {
-            return replica != this->self && this->core->silence(replica) > voterReplacementTimeout;
+            return replica != this->self && this->core->timeSinceContact(replica) > voterReplacementTimeout;
         };
     }
     return rules;
@@ -377,7 +377,7 @@
 
 auto ReplicaNode::onJoinRequest(const ControlMember &member) -> bool
 {
-    this->formation.noteRequest(JoinRequest{member.vm, member.endpoint, member.replica}, this->core->members(), clockNow());
+    this->formation.recordRequest(JoinRequest{member.vm, member.endpoint, member.replica}, this->core->members(), clockNow());
     this->vmsByReplica.insert_or_assign(member.replica, member.vm);
     // A VM runs one control process at a time, so a request with a new replica identity proves that the process of the former identity
     // has ended.
@@ -493,11 +493,11 @@
     return this->core->term().value();
 }
 
-auto ReplicaNode::silence(const VmId &vm) const -> Duration
+auto ReplicaNode::timeSinceContact(const VmId &vm) const -> Duration
 {
     for (const auto &member : this->core->members().members) {
         if (member.vm == vm) {
-            return this->core->silence(member.replica);
+            return this->core->timeSinceContact(member.replica);
         }
     }
     return Duration::max();
--- a/lib/Consensus/replication.cpp
+++ b/lib/Consensus/replication.cpp
@@ -69,7 +69,7 @@
         const auto following = after(peer.next, entries.size());
         this->send(to, AppendRequest{this->hard.term, previous, *previousTerm, std::move(entries), this->commit});
         if (peer.inFlight == 0) {
-            peer.movedAt = this->now;
+            peer.resendTimerStart = this->now;
         }
         ++peer.inFlight;
         if (!peer.probing) {
@@ -82,10 +82,10 @@
 {
     for (auto &[replica, peer] : this->progress) {
         const auto awaitsReply = peer.inFlight > 0 || peer.snapshot != nullptr;
-        if (!awaitsReply || this->now - peer.movedAt < this->settings.resendAfter) {
+        if (!awaitsReply || this->now - peer.resendTimerStart < this->settings.resendAfter) {
             continue;
         }
-        peer.movedAt = this->now;
+        peer.resendTimerStart = this->now;
         if (peer.snapshot != nullptr) {
             this->sendChunk(replica, peer.snapshotOffset);
             continue;
@@ -110,7 +110,7 @@
         this->refuseAppend(from, request);
         return;
     }
-    this->takeEntries(request);
+    this->appendReceivedEntries(request);
     const auto matched = std::max(after(request.previousIndex, request.entries.size()), this->window.baseIndex());
     // If it were acknowledged before the sync, an entry could count towards a commit and then be lost in a power failure.
     this->sendWhenSynced(from, AppendReply{this->hard.term, true, matched, ElectionTerm()});
@@ -125,7 +125,7 @@
     this->send(from, AppendReply{this->hard.term, false, hint, *hintTerm});
 }
 
-auto Core::takeEntries(const AppendRequest &request) -> void
+auto Core::appendReceivedEntries(const AppendRequest &request) -> void
 {
     auto persist = Persist();
     for (const auto &entry : request.entries) {
@@ -175,7 +175,7 @@
         return;
     }
     auto &peer = found->second;
-    peer.heardAt = this->now;
+    peer.lastContactTime = this->now;
     if (!reply.accepted) {
         peer.next = std::max(peer.match.next(), this->nextAfterRefusal(reply));
         peer.probing = true;
@@ -187,7 +187,7 @@
     peer.probing = false;
     if (reply.index > peer.match) {
         peer.match = reply.index;
-        peer.movedAt = this->now;
+        peer.resendTimerStart = this->now;
     }
     peer.next = std::max(peer.next, peer.match.next());
     this->commitByQuorum();
--- a/lib/Consensus/snapshots.cpp
+++ b/lib/Consensus/snapshots.cpp
@@ -37,7 +37,7 @@
     const auto first = whole.state.begin() + static_cast<std::ptrdiff_t>(begin);
     auto data = Bytes(first, first + static_cast<std::ptrdiff_t>(size));
     peer.snapshotOffset = begin;
-    peer.movedAt = this->now;
+    peer.resendTimerStart = this->now;
     const auto last = begin + size == whole.state.size();
     this->send(to, SnapshotChunk{this->hard.term, whole.index, whole.term, whole.members, begin, std::move(data), last});
 }
@@ -99,7 +99,7 @@
         return;
     }
     auto &peer = found->second;
-    peer.heardAt = this->now;
+    peer.lastContactTime = this->now;
     if (peer.snapshot == nullptr || peer.snapshot->index != reply.snapshotIndex) {
         return;
     }
--- a/lib/Controller/leadershiporders.cpp
+++ b/lib/Controller/leadershiporders.cpp
@@ -135,8 +135,8 @@
         return;
     }
     const auto &present = this->duty.grant();
-    const auto silence = this->parts.log.silence(present.holder);
-    if (this->duty.mayTake(silence, now)) {
+    const auto timeSinceContact = this->parts.log.timeSinceContact(present.holder);
+    if (this->duty.mayTake(timeSinceContact, now)) {
         this->duty.proposed(now);
         this->propose(state::GrantDuty{this->parts.vm, this->number, present.number}, group);
     } else if (std::exchange(this->awaited, present.number) != present.number) {
@@ -145,7 +145,7 @@
                       {"holder", present.holder.value()},
                       {"leadership", present.leadership},
                       {"grant_age_ms", this->duty.age(now)},
-                      {"holder_silent_ms", silence}});
+                      {"holder_silent_ms", timeSinceContact}});
     }
 }
 
--- a/unittests/Consensus/joiningtest.cpp
+++ b/unittests/Consensus/joiningtest.cpp
@@ -69,17 +69,17 @@
     // All control VMs but one lost their disks, and that one is down. The others have no log; founding a new group would lose all
     // acknowledged changes.
     const auto members = std::vector{ControlMember{VmId("a"), {}, true, {}}, ControlMember{VmId("b"), {}, true, {}}};
-    auto withoutFounding = Formation(VmId("a"), members, false, true);
-    withoutFounding.noteAnswer(VmId("b"), true);
+    auto withoutFounding = GroupFormation(VmId("a"), members, false, true);
+    withoutFounding.recordAnswer(VmId("b"), true);
     CHECK_FALSE(withoutFounding.shouldFound());
-    auto first = Formation(VmId("a"), members, true, true);
-    first.noteAnswer(VmId("b"), true);
+    auto first = GroupFormation(VmId("a"), members, true, true);
+    first.recordAnswer(VmId("b"), true);
     CHECK(first.shouldFound());
     const auto request = JoinRequest{VmId("new"), {}, ReplicaId(9)};
-    first.noteRequest(request, Members(), TimePoint());
+    first.recordRequest(request, Members(), TimePoint());
     CHECK(first.requests(TimePoint()).size() == 1);
-    auto closed = Formation(VmId("a"), members);
-    closed.noteRequest(request, Members(), TimePoint());
+    auto closed = GroupFormation(VmId("a"), members);
+    closed.recordRequest(request, Members(), TimePoint());
     CHECK(closed.requests(TimePoint()).empty());
 }
 
--- a/unittests/Control/proxylinktest.cpp
+++ b/unittests/Control/proxylinktest.cpp
@@ -40,7 +40,7 @@
         return this->leads ? TimePoint::max() : TimePoint::min();
     }
 
-    [[nodiscard]] auto silence(const VmId &) const -> Duration override
+    [[nodiscard]] auto timeSinceContact(const VmId &) const -> Duration override
     {
         return {};
     }
--- a/unittests/Controller/fakelog.h
+++ b/unittests/Controller/fakelog.h
@@ -50,7 +50,7 @@
         return this->number;
     }
 
-    [[nodiscard]] auto silence(const VmId &) const -> Duration override
+    [[nodiscard]] auto timeSinceContact(const VmId &) const -> Duration override
     {
         return this->silent;
     }
